--- a/Examples/EmbedCoord/EmbedCoord.cxx
+++ b/Examples/EmbedCoord/EmbedCoord.cxx
@@ -22,12 +22,12 @@
   for (gsProbeMessage const& message : out.Messages) {
     gsMembership& target = tables.at(message.To);
     gsMembershipOutput answer;
-    for (gsMember const& news : gsMembershipNews(tables.at(from))) {
-      gsMembershipLearn(target, news, now, answer);
+    for (gsMember const& news : gsMembershipNextUpdates(tables.at(from))) {
+      gsMembershipApplyUpdate(target, news, now, answer);
     }
-    if (message.What == gsProbeMessage::Kind::Ping) {
+    if (message.Type == gsProbeMessage::Kind::Ping) {
       gsMembershipOnPing(target, from, message.Sequence, answer);
-    } else if (message.What == gsProbeMessage::Kind::Ack) {
+    } else if (message.Type == gsProbeMessage::Kind::Ack) {
       gsMembershipOnAck(target, from, message.Sequence, message.Target,
                         answer);
     }
@@ -49,8 +49,8 @@
     gsMembershipStart(tables[name], self, now);
   }
   gsMembershipOutput joined;
-  gsMembershipLearn(tables["a"], tables["b"].Self, now, joined);
-  gsMembershipLearn(tables["b"], tables["c"].Self, now, joined);
+  gsMembershipApplyUpdate(tables["a"], tables["b"].Self, now, joined);
+  gsMembershipApplyUpdate(tables["b"], tables["c"].Self, now, joined);
 
   gsRandom random(1);
   constexpr int ticks = 100;
--- a/Source/Coord/gsClaims.cxx
+++ b/Source/Coord/gsClaims.cxx
@@ -5,32 +5,40 @@
 
 namespace {
 
-gsClaimWork DeleteOf(gsTableOp const& op, std::uint32_t again)
+/** Creates the delete of an inserted row. */
+gsClaimOperation MakeDelete(gsTableOperation const& op,
+                            std::uint32_t repetitions)
 {
-  gsClaimWork work;
-  work.Op = { gsTableOp::Kind::Delete, op.Key, {}, op.Value };
-  work.Again = again;
-  return work;
+  gsClaimOperation operation;
+  operation.Operation = {
+    gsTableOperation::Kind::Delete, op.Key, {}, op.Value
+  };
+  operation.DeleteRepetitionsLeft = repetitions;
+  return operation;
 }
 
-bool IsClaim(gsClaimWork const& work, std::string const& value)
+/** Whether an operation is the claim with a value. */
+bool IsClaimWithValue(gsClaimOperation const& operation,
+                      std::string const& value)
 {
-  return work.Cookie != 0 && work.Op.Value == value;
+  return operation.Cookie != 0 && operation.Operation.Value == value;
 }
 
-void Decide(gsClaimWork const& work, gsTableResult const& result,
-            std::vector<gsClaimDecision>& out)
+/** Appends the decision on a claim. */
+void AppendDecision(gsClaimOperation const& operation,
+                    gsTableResult const& result,
+                    std::vector<gsClaimDecision>& out)
 {
   gsClaimDecision decision;
-  decision.Cookie = work.Cookie;
-  std::string const current = result.Current.value_or(std::string());
-  // The nonce in the value decides, also when an insert says "not done":
-  // an earlier try of ours, whose answer was lost, may have done it.
-  if (current == work.Op.Value) {
+  decision.Cookie = operation.Cookie;
+  std::string const current = result.CurrentValue.value_or(std::string());
+  // The nonce in the value decides, even if this insert was not applied: an
+  // earlier attempt, whose response was lost, may have inserted the row.
+  if (current == operation.Operation.Value) {
     decision.Result = gsClaimResult::Won;
-  } else if (result.Current) {
+  } else if (result.CurrentValue) {
     decision.Result = gsClaimResult::Taken;
-    decision.Holder = current;
+    decision.HolderValue = current;
   }
   out.push_back(std::move(decision));
 }
@@ -40,122 +48,128 @@
 void gsClaimAdd(gsClaims& claims, std::string key, std::string value,
                 std::uint64_t cookie)
 {
-  gsClaimWork work;
-  work.Op.What = gsTableOp::Kind::Insert;
-  work.Op.Key = std::move(key);
-  work.Op.Value = std::move(value);
-  work.Cookie = cookie;
-  claims.Pending.push_back(std::move(work));
+  gsClaimOperation operation;
+  operation.Operation.OperationKind = gsTableOperation::Kind::Insert;
+  operation.Operation.Key = std::move(key);
+  operation.Operation.Value = std::move(value);
+  operation.Cookie = cookie;
+  claims.Pending.push_back(std::move(operation));
 }
 
 void gsClaimRelease(gsClaims& claims, std::string key, std::string value)
 {
-  for (gsClaimWork& work : claims.Pending) {
-    if (IsClaim(work, value)) {
-      work.GiveBack = true;
+  for (gsClaimOperation& operation : claims.Pending) {
+    if (IsClaimWithValue(operation, value)) {
+      operation.IsReleased = true;
       return;
     }
   }
-  for (auto& [number, works] : claims.InFlight) {
-    for (gsClaimWork& work : works) {
-      if (IsClaim(work, value)) {
-        work.GiveBack = true;
+  for (auto& [number, operations] : claims.InFlight) {
+    for (gsClaimOperation& operation : operations) {
+      if (IsClaimWithValue(operation, value)) {
+        operation.IsReleased = true;
         return;
       }
     }
   }
-  gsClaimWork work;
-  work.Op = { gsTableOp::Kind::Delete, std::move(key), {}, std::move(value) };
-  claims.Background.push_back(std::move(work));
+  gsClaimOperation operation;
+  operation.Operation = {
+    gsTableOperation::Kind::Delete, std::move(key), {}, std::move(value)
+  };
+  claims.BackgroundQueue.push_back(std::move(operation));
 }
 
-void gsClaimFinish(gsClaims& claims, std::string key, std::string value,
-                   std::string finished)
+void gsClaimMarkFinished(gsClaims& claims, std::string key, std::string value,
+                         std::string finished)
 {
-  gsClaimWork work;
-  work.Op = { gsTableOp::Kind::Replace, std::move(key), std::move(finished),
-              std::move(value) };
-  claims.Background.push_back(std::move(work));
+  gsClaimOperation operation;
+  operation.Operation = { gsTableOperation::Kind::Replace, std::move(key),
+                          std::move(finished), std::move(value) };
+  claims.BackgroundQueue.push_back(std::move(operation));
 }
 
 std::optional<gsClaimBatch> gsClaimsTick(gsClaims& claims, gsTime now)
 {
-  bool background = !claims.Background.empty() && now >= claims.NextRetry;
-  if ((claims.Pending.empty() && !background) || now < claims.NextSend) {
+  bool isBackgroundDue =
+    !claims.BackgroundQueue.empty() && now >= claims.NextRetryAt;
+  if ((claims.Pending.empty() && !isBackgroundDue) ||
+      now < claims.NextSendAt) {
     return std::nullopt;
   }
-  claims.NextSend = now + claims.Settings.Window;
+  claims.NextSendAt = now + claims.Settings.CommitWindow;
   gsClaimBatch batch;
-  batch.Number = claims.NextBatch++;
-  std::vector<gsClaimWork>& works = claims.InFlight[batch.Number];
-  auto take = [&](std::deque<gsClaimWork>& queue) {
-    while (!queue.empty() && works.size() < claims.Settings.MaxBatch) {
-      batch.Ops.push_back(queue.front().Op);
-      works.push_back(std::move(queue.front()));
+  batch.Number = claims.NextBatchNumber++;
+  std::vector<gsClaimOperation>& operations = claims.InFlight[batch.Number];
+  auto moveToBatch = [&](std::deque<gsClaimOperation>& queue) {
+    while (!queue.empty() &&
+           operations.size() < claims.Settings.MaxBatchSize) {
+      batch.Operations.push_back(queue.front().Operation);
+      operations.push_back(std::move(queue.front()));
       queue.pop_front();
     }
   };
-  take(claims.Pending);
-  if (background) {
-    claims.NextRetry = now + claims.Settings.RetryPeriod;
-    take(claims.Background);
+  moveToBatch(claims.Pending);
+  if (isBackgroundDue) {
+    claims.NextRetryAt = now + claims.Settings.RetryInterval;
+    moveToBatch(claims.BackgroundQueue);
   }
   return batch;
 }
 
-void gsClaimsAnswered(gsClaims& claims, std::uint64_t batch,
-                      std::vector<gsTableResult> const& results,
-                      std::vector<gsClaimDecision>& out)
+void gsClaimsProcessResults(gsClaims& claims, std::uint64_t batch,
+                            std::vector<gsTableResult> const& results,
+                            std::vector<gsClaimDecision>& out)
 {
   auto found = claims.InFlight.find(batch);
   if (found == claims.InFlight.end()) {
     return;
   }
-  std::vector<gsClaimWork> works = std::move(found->second);
+  std::vector<gsClaimOperation> operations = std::move(found->second);
   claims.InFlight.erase(found);
-  for (std::size_t i = 0; i < works.size() && i < results.size(); ++i) {
-    gsClaimWork& work = works[i];
-    if (work.Cookie == 0) {
-      bool late = work.Again > 0 && !results[i].Done;
-      if (late) {
-        --work.Again;
-        claims.Background.push_back(std::move(work));
+  for (std::size_t i = 0; i < operations.size() && i < results.size(); ++i) {
+    gsClaimOperation& operation = operations[i];
+    if (operation.Cookie == 0) {
+      bool insertMayBeLate =
+        operation.DeleteRepetitionsLeft > 0 && !results[i].Applied;
+      if (insertMayBeLate) {
+        --operation.DeleteRepetitionsLeft;
+        claims.BackgroundQueue.push_back(std::move(operation));
       }
       continue;
     }
-    Decide(work, results[i], out);
+    AppendDecision(operation, results[i], out);
     gsClaimResult result = out.back().Result;
     if (result == gsClaimResult::Unavailable) {
-      claims.Background.push_back(
-        DeleteOf(work.Op, claims.Settings.DeleteRounds));
-    } else if (result == gsClaimResult::Won && work.GiveBack) {
-      claims.Background.push_back(DeleteOf(work.Op, 0));
+      claims.BackgroundQueue.push_back(
+        MakeDelete(operation.Operation, claims.Settings.MaxDeleteRepetitions));
+    } else if (result == gsClaimResult::Won && operation.IsReleased) {
+      claims.BackgroundQueue.push_back(MakeDelete(operation.Operation, 0));
     }
   }
 }
 
-void gsClaimsLost(gsClaims& claims, std::uint64_t batch,
-                  std::vector<gsClaimDecision>& out)
+void gsClaimsProcessLostResponse(gsClaims& claims, std::uint64_t batch,
+                                 std::vector<gsClaimDecision>& out)
 {
   auto found = claims.InFlight.find(batch);
   if (found == claims.InFlight.end()) {
     return;
   }
-  std::vector<gsClaimWork> works = std::move(found->second);
+  std::vector<gsClaimOperation> operations = std::move(found->second);
   claims.InFlight.erase(found);
-  for (gsClaimWork& work : works) {
-    if (work.Cookie == 0) {
-      claims.Background.push_back(std::move(work));
+  for (gsClaimOperation& operation : operations) {
+    if (operation.Cookie == 0) {
+      claims.BackgroundQueue.push_back(std::move(operation));
       continue;
     }
-    if (!work.ReadBack) {
-      work.ReadBack = true;
-      work.Op.What = gsTableOp::Kind::Get;
-      claims.Pending.push_back(std::move(work));
+    if (!operation.IsReadBack) {
+      operation.IsReadBack = true;
+      operation.Operation.OperationKind = gsTableOperation::Kind::Get;
+      claims.Pending.push_back(std::move(operation));
       continue;
     }
-    out.push_back({ work.Cookie, gsClaimResult::Unavailable, {} });
-    claims.Background.push_back(
-      DeleteOf(work.Op, claims.Settings.DeleteRounds));
+    out.push_back({ operation.Cookie, gsClaimResult::Unavailable, {} });
+    claims.BackgroundQueue.push_back(
+      MakeDelete(operation.Operation, claims.Settings.MaxDeleteRepetitions));
   }
 }
--- a/Source/Coord/gsClaims.h
+++ b/Source/Coord/gsClaims.h
@@ -1,12 +1,19 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * Claims of idempotency keys, so that a keyed request runs at most once. A
- * claim is a row in the platform's table, inserted only if absent, that holds
- * a nonce of its own. Claims that arise within one window go to the platform
- * as one transaction (group commit). An answer that was lost is settled by
- * reading back: the claim is ours if the nonce is. What was claimed but will
- * not run is deleted again, where the nonce is ours, until that has worked.
+ * Claims of idempotency keys, so that a request with such a key runs at most
+ * once. A claim is a row in the platform's table that is inserted only if the
+ * key has none, and whose value contains a unique nonce. Claims that are
+ * requested within one commit window are sent to the platform as one
+ * transaction (group commit), which holds at most MaxBatchSize operations.
+ *
+ * If the response to a transaction is lost, its claims are read back: a claim
+ * is won if the row contains its nonce. The row of a claimed request that will
+ * not run is deleted if it contains the claim's nonce. A delete whose response
+ * is lost is retried until there is one.
+ *
+ * The state is one plain struct. Callers pass in the current time, send the
+ * returned transactions and report their results.
  */
 #pragma once
 
@@ -20,111 +27,130 @@
 #include "gsTypes.h"
 
 /** An operation on one row of the platform's table. */
-struct gsTableOp
+struct gsTableOperation
 {
   enum class Kind
   {
-    Insert,  ///< If there is no such row.
-    Get,     ///< Read.
-    Replace, ///< If the row has the expected value.
-    Delete   ///< If the row has the expected value.
+    Insert,  ///< Adds the row if there is none with the key.
+    Get,     ///< Reads the row.
+    Replace, ///< Sets the row's value if it is the expected one.
+    Delete   ///< Removes the row if its value is the expected one.
   };
-  Kind What = Kind::Insert;
+  Kind OperationKind = Kind::Insert;
   std::string Key;
-  std::string Value;
-  std::string Expected;
+  std::string Value;    ///< Value to be written by Insert and Replace.
+  std::string Expected; ///< Precondition of Replace and Delete.
 };
 
-/** What the platform says of one operation. */
+/** The platform's result of one operation. */
 struct gsTableResult
 {
-  bool Done = false;
-  std::optional<std::string> Current; ///< The row's value afterwards.
+  bool Applied = false; ///< Whether the operation changed the table.
+  /** The row's value after the operation; empty if there is no row. */
+  std::optional<std::string> CurrentValue;
 };
 
-/** One transaction, sent to the platform as a whole. */
+/** A transaction to be sent to the platform. */
 struct gsClaimBatch
 {
-  std::uint64_t Number = 0;
-  std::vector<gsTableOp> Ops;
+  std::uint64_t Number = 0; ///< Identifies the batch in later calls.
+  std::vector<gsTableOperation> Operations;
 };
 
 enum class gsClaimResult
 {
-  Won,        ///< Ours: the request may be sent, once.
-  Taken,      ///< Another request has the key.
-  Unavailable ///< Not decided; the request must not be sent.
+  Won,        ///< This claim holds the key: the request may be sent once.
+  Taken,      ///< Another request holds the key.
+  Unavailable ///< The result is unknown; the request must not be sent.
 };
 
 /** The decision on a claim. */
 struct gsClaimDecision
 {
-  std::uint64_t Cookie = 0;
+  std::uint64_t Cookie = 0; ///< As passed to gsClaimAdd.
   gsClaimResult Result = gsClaimResult::Unavailable;
-  std::string Holder; ///< Value of the row that has the key.
+  std::string
+    HolderValue; ///< Value of the row that holds the key, if it is taken.
 };
 
 struct gsClaimsSettings
 {
-  gsTime Window = gsMilliseconds(20);
-  gsTime RetryPeriod = gsMilliseconds(500);
+  /** Minimum interval between batches; claims that are requested within it
+   * share a batch. */
+  gsTime CommitWindow = gsMilliseconds(20);
+  /** Minimum interval between batches with background operations. */
+  gsTime RetryInterval = gsMilliseconds(500);
   /**
-   * An insert whose answer was lost may take effect late, even after a delete
-   * of it. Such a delete is repeated so many times, a period apart.
+   * Number of times a delete that found no row is repeated, RetryInterval
+   * apart, if the response to the insert was lost. Such an insert may take
+   * effect late, even after the delete.
    */
-  std::uint32_t DeleteRounds = 20;
-  std::size_t MaxBatch = 256;
+  std::uint32_t MaxDeleteRepetitions = 20;
+  std::size_t MaxBatchSize = 256; ///< In operations.
 };
 
-/** A row operation with what it is for. */
-struct gsClaimWork
+/** A row operation with its purpose. */
+struct gsClaimOperation
 {
-  gsTableOp Op;
-  std::uint64_t Cookie = 0; ///< Zero when nobody waits for it.
-  bool ReadBack = false;    ///< Whether it settles a lost answer.
-  bool GiveBack = false;    ///< Delete it as soon as it is known to be ours.
-  std::uint32_t Again = 0;  ///< Further rounds of a delete; see below.
+  gsTableOperation Operation;
+  /** Identifies the claim in its decision; zero for operations without one,
+   * which are those of the background queue. */
+  std::uint64_t Cookie = 0;
+  /** Whether the claim is read back because the response to its insert was
+   * lost. */
+  bool IsReadBack = false;
+  /** Whether the claim was released before its decision, so that its row is
+   * deleted if the claim is won. */
+  bool IsReleased = false;
+  /** Remaining repetitions of a delete that finds no row. */
+  std::uint32_t DeleteRepetitionsLeft = 0;
 };
 
-/** Claims of one host: those to be sent and those under way. */
+/** Claims of one host. */
 struct gsClaims
 {
   gsClaimsSettings Settings;
-  std::deque<gsClaimWork> Pending;
-  /** Deletes and replaces that are tried until they have worked. */
-  std::deque<gsClaimWork> Background;
-  std::map<std::uint64_t, std::vector<gsClaimWork>> InFlight;
-  std::uint64_t NextBatch = 1;
-  gsTime NextSend{};
-  gsTime NextRetry{};
+  std::deque<gsClaimOperation>
+    Pending; ///< Claims to be inserted or read back.
+  /** Deletes and replaces, which are retried until there is a response. */
+  std::deque<gsClaimOperation> BackgroundQueue;
+  /** Operations that have been sent, by batch number. */
+  std::map<std::uint64_t, std::vector<gsClaimOperation>> InFlight;
+  std::uint64_t NextBatchNumber = 1;
+  gsTime NextSendAt{};  ///< Earliest time of the next batch.
+  gsTime NextRetryAt{}; ///< Earliest time of the next background operations.
 };
 
-/** Asks for a claim. Value must hold a nonce that is unique to it. */
+/** Requests a claim. The value must contain a nonce that is unique to it. The
+ * cookie must not be zero; it identifies the claim in its decision. */
 void gsClaimAdd(gsClaims& claims, std::string key, std::string value,
                 std::uint64_t cookie);
 
 /**
- * Gives a claim back whose request was not and will not be run. One that is
- * still under way is given back once it has been decided.
+ * Releases a claim whose request was not and will not be run, by deleting its
+ * row. If the claim has not been decided yet, its row is deleted after the
+ * decision.
  */
 void gsClaimRelease(gsClaims& claims, std::string key, std::string value);
 
-/** Notes in the row how the request ended. */
-void gsClaimFinish(gsClaims& claims, std::string key, std::string value,
-                   std::string finished);
+/** Replaces the value of a claim's row after its request was run. */
+void gsClaimMarkFinished(gsClaims& claims, std::string key, std::string value,
+                         std::string finished);
 
-/** The transaction to send now, if any. */
+/** Returns the transaction to be sent now; empty if there is none. */
 std::optional<gsClaimBatch> gsClaimsTick(gsClaims& claims, gsTime now);
 
-/** The platform answered the batch, with one result an operation. */
-void gsClaimsAnswered(gsClaims& claims, std::uint64_t batch,
-                      std::vector<gsTableResult> const& results,
-                      std::vector<gsClaimDecision>& out);
+/** Processes the platform's response to a batch, which contains one result for
+ * each operation. Decisions are appended to out. */
+void gsClaimsProcessResults(gsClaims& claims, std::uint64_t batch,
+                            std::vector<gsTableResult> const& results,
+                            std::vector<gsClaimDecision>& out);
 
 /**
- * No answer, or an error: whether the batch took effect is not known. Inserts
- * are read back once; when that is lost too, the claim is unavailable and is
- * deleted in the background.
+ * Processes the loss of the response to a batch, or an error: it is unknown
+ * whether the batch took effect. Inserts are read back once. If that response
+ * is lost too, the claim is unavailable, and its row is deleted in the
+ * background.
  */
-void gsClaimsLost(gsClaims& claims, std::uint64_t batch,
-                  std::vector<gsClaimDecision>& out);
+void gsClaimsProcessLostResponse(gsClaims& claims, std::uint64_t batch,
+                                 std::vector<gsClaimDecision>& out);
--- a/Source/Coord/gsClockAgreement.cxx
+++ b/Source/Coord/gsClockAgreement.cxx
@@ -6,7 +6,8 @@
 
 namespace {
 
-/** The middle one; of an even number the lower of the two. */
+/** The median; for an even number of values the lower of the two middle ones.
+ */
 std::int64_t Median(std::vector<std::int64_t>& values)
 {
   auto middle =
@@ -15,15 +16,16 @@
   return *middle;
 }
 
-/** Offsets that count: of coordinators only, or of all. */
+/** Offsets of all clocks that have not expired, or only of those that are
+ * medians reported by coordinators. */
 std::vector<std::int64_t> Offsets(gsClockAgreement const& clocks,
-                                  bool agreedOnly, gsTime now)
+                                  bool mediansOnly, gsTime now)
 {
   std::vector<std::int64_t> offsets;
-  for (auto const& [host, heard] : clocks.Heard) {
-    bool fresh = now - heard.At <= clocks.Memory;
-    if (fresh && (heard.Agreed || !agreedOnly)) {
-      offsets.push_back(heard.Offset);
+  for (auto const& [host, clock] : clocks.Clocks) {
+    bool isCurrent = now - clock.ReceivedAt <= clocks.ClockLifetime;
+    if (isCurrent && (clock.IsMedian || !mediansOnly)) {
+      offsets.push_back(clock.Offset);
     }
   }
   return offsets;
@@ -31,26 +33,26 @@
 
 } // namespace
 
-void gsClockHear(gsClockAgreement& clocks, std::string_view host,
-                 gsWallTime wall, bool agreed, gsTime now)
+void gsClockReceive(gsClockAgreement& clocks, std::string_view host,
+                    gsWallTime wall, bool isMedian, gsTime now)
 {
-  clocks.Heard[std::string(host)] = { wall - now.count(), agreed, now };
+  clocks.Clocks[std::string(host)] = { wall - now.count(), isMedian, now };
 }
 
-gsWallTime gsClockNow(gsClockAgreement const& clocks, gsWallTime own,
-                      bool coordinates, gsTime now)
+gsWallTime gsClockNow(gsClockAgreement const& clocks, gsWallTime ownClock,
+                      bool isCoordinator, gsTime now)
 {
-  std::vector<std::int64_t> offsets = Offsets(clocks, !coordinates, now);
-  if (coordinates || offsets.empty()) {
-    offsets.push_back(own - now.count());
+  std::vector<std::int64_t> offsets = Offsets(clocks, !isCoordinator, now);
+  if (isCoordinator || offsets.empty()) {
+    offsets.push_back(ownClock - now.count());
   }
   return now.count() + Median(offsets);
 }
 
-void gsClockForget(gsClockAgreement& clocks, gsTime now)
+void gsClockExpire(gsClockAgreement& clocks, gsTime now)
 {
-  for (auto heard = clocks.Heard.begin(); heard != clocks.Heard.end();) {
-    bool fresh = now - heard->second.At <= clocks.Memory;
-    heard = fresh ? std::next(heard) : clocks.Heard.erase(heard);
+  for (auto clock = clocks.Clocks.begin(); clock != clocks.Clocks.end();) {
+    bool isCurrent = now - clock->second.ReceivedAt <= clocks.ClockLifetime;
+    clock = isCurrent ? std::next(clock) : clocks.Clocks.erase(clock);
   }
 }
--- a/Source/Coord/gsClockAgreement.h
+++ b/Source/Coord/gsClockAgreement.h
@@ -1,12 +1,13 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * True time by many hosts' clocks. The time of day of one host may be off, and
- * may jump by seconds; the middle one of many is off only when half of them
- * are. Coordinators hear the clocks of all hosts of their hall and go by the
- * middle one; the others go by their coordinators.
+ * Wall-clock time as the median of the clocks of many hosts. The wall clock of
+ * one host may be wrong and may jump by seconds; the median is wrong only if
+ * half of the clocks are. Coordinators receive the clocks of all hosts of
+ * their hall and use the median of these; other hosts use the median of the
+ * times received from coordinators.
  *
- * Clocks are kept as their difference to this host's steady clock.
+ * Clocks are stored as offsets from this host's steady clock.
  */
 #pragma once
 
@@ -17,34 +18,40 @@
 
 #include "gsTypes.h"
 
-/** Microseconds since 1970, by some host. */
+/** Microseconds since 1970, by the wall clock of a host or the median of
+ * several. */
 using gsWallTime = std::int64_t;
 
-/** A clock as it was last heard. */
-struct gsHeardClock
+/** The last received reading of a host's clock. */
+struct gsReceivedClock
 {
-  std::int64_t Offset = 0; ///< To this host's steady clock, microseconds.
-  bool Agreed = false;     ///< A coordinator's word of what many say.
-  gsTime At{};
+  std::int64_t Offset = 0; ///< From this host's steady clock, microseconds.
+  bool IsMedian = false;   ///< Whether the sender, a coordinator, reported a
+                           ///< median rather than its own clock.
+  gsTime ReceivedAt{};     ///< When it was received.
 };
 
+/** The clocks that were received from other hosts. */
 struct gsClockAgreement
 {
-  /** Clocks that were not heard for longer are not counted. */
-  gsTime Memory = gsSeconds(5);
-  std::map<std::string, gsHeardClock> Heard; ///< By host.
+  /** Time after which a received clock is no longer used. */
+  gsTime ClockLifetime = gsSeconds(5);
+  std::map<std::string, gsReceivedClock> Clocks; ///< By host.
 };
 
-/** Takes in another host's clock. */
-void gsClockHear(gsClockAgreement& clocks, std::string_view host,
-                 gsWallTime wall, bool agreed, gsTime now);
+/** Stores the clock received from another host. IsMedian is set if it is
+ * the median that a coordinator reports. */
+void gsClockReceive(gsClockAgreement& clocks, std::string_view host,
+                    gsWallTime wall, bool isMedian, gsTime now);
 
 /**
- * True time now, as far as it is known. Own is this host's own clock, and
- * coordinates whether it goes by the clocks of all hosts that it hears.
+ * The current wall-clock time by the received clocks. OwnClock is this host's
+ * clock. A coordinator uses the median of it and all received clocks; other
+ * hosts use the median of those that coordinators report, or ownClock if there
+ * are none.
  */
-gsWallTime gsClockNow(gsClockAgreement const& clocks, gsWallTime own,
-                      bool coordinates, gsTime now);
+gsWallTime gsClockNow(gsClockAgreement const& clocks, gsWallTime ownClock,
+                      bool isCoordinator, gsTime now);
 
-/** Forgets clocks that are not counted any more. */
-void gsClockForget(gsClockAgreement& clocks, gsTime now);
+/** Removes expired clocks. */
+void gsClockExpire(gsClockAgreement& clocks, gsTime now);
--- a/Source/Coord/gsFingerprint.cxx
+++ b/Source/Coord/gsFingerprint.cxx
@@ -25,16 +25,16 @@
   return { hash.high64, hash.low64 };
 }
 
-std::string gsFingerprintText(gsFingerprint const& print)
+std::string gsFormatFingerprint(gsFingerprint const& fingerprint)
 {
   char text[33];
   std::snprintf(text, sizeof(text), "%016llx%016llx",
-                static_cast<unsigned long long>(print.High),
-                static_cast<unsigned long long>(print.Low));
+                static_cast<unsigned long long>(fingerprint.High),
+                static_cast<unsigned long long>(fingerprint.Low));
   return text;
 }
 
-std::optional<gsFingerprint> gsReadFingerprint(std::string_view text)
+std::optional<gsFingerprint> gsParseFingerprint(std::string_view text)
 {
   constexpr std::size_t digits = 16;
   constexpr int base = 16;
@@ -42,9 +42,9 @@
       text.find_first_not_of("0123456789abcdef") != std::string_view::npos) {
     return std::nullopt;
   }
-  gsFingerprint print;
+  gsFingerprint fingerprint;
   char const* middle = text.data() + digits;
-  std::from_chars(text.data(), middle, print.High, base);
-  std::from_chars(middle, middle + digits, print.Low, base);
-  return print;
+  std::from_chars(text.data(), middle, fingerprint.High, base);
+  std::from_chars(middle, middle + digits, fingerprint.Low, base);
+  return fingerprint;
 }
--- a/Source/Coord/gsFingerprint.h
+++ b/Source/Coord/gsFingerprint.h
@@ -1,8 +1,9 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * Names a request by what stays the same when a caller repeats it, on any
- * host and under any id.
+ * Fingerprints of requests. A request that a caller repeats has the same
+ * fingerprint on every host and under every request id, as it is computed only
+ * from the parts that do not change.
  */
 #pragma once
 
@@ -12,6 +13,7 @@
 #include <string>
 #include <string_view>
 
+/** A 128-bit hash of a request. */
 struct gsFingerprint
 {
   std::uint64_t High = 0;
@@ -26,19 +28,20 @@
 template<>
 struct std::hash<gsFingerprint>
 {
-  std::size_t operator()(gsFingerprint const& print) const noexcept
+  std::size_t operator()(gsFingerprint const& fingerprint) const noexcept
   {
-    return static_cast<std::size_t>(print.Low);
+    return static_cast<std::size_t>(fingerprint.Low);
   }
 };
 
-/** The organisation is part of it: no other one can have its requests refused.
- */
+/** Computes the fingerprint of a request. The organisation is included so that
+ * no other organisation can cause its requests to be refused. */
 gsFingerprint gsFingerprintOf(std::string_view organisation,
                               std::string_view target, std::string_view body);
 
-/** 32 digits, for logs, operators and keys. */
-std::string gsFingerprintText(gsFingerprint const& print);
+/** Formats a fingerprint as 32 hexadecimal digits, for logs, operators and
+ * keys. */
+std::string gsFormatFingerprint(gsFingerprint const& fingerprint);
 
-/** Reads that text; absent for any other. */
-std::optional<gsFingerprint> gsReadFingerprint(std::string_view text);
+/** Parses the output of gsFormatFingerprint; empty for any other text. */
+std::optional<gsFingerprint> gsParseFingerprint(std::string_view text);
--- a/Source/Coord/gsHallDetail.h
+++ b/Source/Coord/gsHallDetail.h
@@ -1,9 +1,9 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * What the parts of gsHallMembership share: which peers are up and in which
- * order, and digests. Not for users of the library; they include
- * gsHallMembership.h.
+ * Functions that the source files of gsHallMembership share: the liveness and
+ * the duty order of peers, and the digests that hosts exchange. Internal to
+ * the library; its users include gsHallMembership.h.
  */
 #pragma once
 
@@ -17,78 +17,93 @@
 
 namespace gsHallDetail {
 
-/** Whether a time is known and no longer ago than a span. */
-bool IsWithin(gsTime at, gsTime span, gsTime now);
+/** Whether a time is set and at most a given duration ago. */
+bool IsRecent(gsTime at, gsTime duration, gsTime now);
 
-/** Hosts of the hall that are up, in order; those heard alone, if wanted. */
-std::vector<gsHallHost const*> Order(gsHallMembership const& table,
-                                     bool heardOnly, gsTime now);
+/** Hosts of this host's hall that are up, in duty order, including this host
+ * unless it is leaving. With directOnly set, peers that are only reported by
+ * other hosts are left out. */
+std::vector<gsHallHost const*> HostsInDutyOrder(gsHallMembership const& table,
+                                                bool directOnly, gsTime now);
 
-/** Coordinators of the hall other than this host. */
+/** Names of the coordinators of this host's hall, in duty order, without this
+ * host. */
 std::vector<std::string> OtherCoordinators(gsHallMembership const& table,
                                            gsTime now);
 
-/** Whether this host coordinates its hall, as far as it knows. */
-bool Coordinates(gsHallMembership const& table, gsTime now);
+/** Whether this host is a coordinator of its hall, by its local table. */
+bool IsCoordinator(gsHallMembership const& table, gsTime now);
 
-/** Whether a host of another hall may be up. */
-bool IsContact(gsHallMembership const& table, gsHallPeer const& peer,
-               gsTime now);
+/** Whether a host of another hall was heard from or reported within
+ * HallTimeout and is not excluded. */
+bool MayBeUp(gsHallMembership const& table, gsHallPeer const& peer,
+             gsTime now);
 
-/** Orders the contacts of a hall, and forgets those beyond the candidates. */
+/** Sorts the contacts of a hall, those that may be up first and each group in
+ * duty order, and removes all beyond MaxCandidates. */
 void SortContacts(gsHallMembership const& table, gsOtherHall& hall,
                   gsTime now);
 
-/** The peer of that name, in whichever hall; null for an unknown one. */
+/** Finds a peer by its host name in any hall; null if it is unknown. */
 gsHallPeer* FindPeer(gsHallMembership& table, std::string_view host);
 
-/** After a silence or a restart, digests are sent in full again. */
-void ForgetDigests(gsHallPeer& peer);
+/** Clears the digest state of a peer after a timeout or a restart, so that
+ * the next digest is sent in full. */
+void ResetDigests(gsHallPeer& peer);
 
-/** Notes a sign of life. */
-void NoteHeard(gsHallMembership& table, gsHallPeer& peer, gsTime now);
+/** Records that a peer was heard from: ends its exclusion and the wait for
+ * its reply. */
+void RecordActivity(gsHallMembership& table, gsHallPeer& peer, gsTime now);
 
-/** Takes in what a host says of itself. */
-void LearnSelf(gsHallMembership& table, gsHallHost const& host, gsTime now);
+/** Applies the description that a host sent of itself. */
+void ApplySelfReport(gsHallMembership& table, gsHallHost const& host,
+                     gsTime now);
 
-/** Takes in what is said of a host; believed if by its own hall. */
-void LearnTold(gsHallMembership& table, gsHallHost const& host, bool believed,
-               gsTime now);
+/** Applies the description of a host that another host sent. Authoritative
+ * is set if the report originates in the described host's own hall. */
+void ApplyIndirectReport(gsHallMembership& table, gsHallHost const& host,
+                         bool authoritative, gsTime now);
 
-/** Hosts of the hall that this host has heard, itself included. */
-std::uint32_t HeardInHall(gsHallMembership const& table, gsTime now);
+/** Number of hosts of this host's hall that it receives messages from,
+ * including itself. */
+std::uint32_t CountDirectHosts(gsHallMembership const& table, gsTime now);
 
-/** Hosts of the hall, also by its coordinators' word. */
-std::uint32_t HostsOfHall(gsHallMembership const& table, gsTime now);
+/** Number of hosts of this host's hall: the maximum of its own count and of
+ * those in the digests of peers heard from within CoordinatorTimeout. */
+std::uint32_t CountHallHosts(gsHallMembership const& table, gsTime now);
 
-/** Takes in a digest, be it new or one that still holds. */
-void TakeDigest(gsHallMembership& table, std::string const& sendersHall,
-                gsHallDigest const& digest, gsTime now);
+/** Applies a digest, either a new one or a stored one whose hash the sender
+ * has repeated. */
+void ApplyDigest(gsHallMembership& table, std::string const& sendersHall,
+                 gsHallDigest const& digest, gsTime now);
 
-/** Digests by hall, made when first asked for: many hosts are told the same.
- */
-class Digests
+/** Caches the digests of one tick by receiving hall, since all hosts of a hall
+ * receive the same digest. */
+class DigestCache
 {
 public:
-  struct Made
+  struct Entry
   {
     gsHallDigest Digest;
     std::uint64_t Hash = 0;
   };
 
-  /** The table outlives this; what is learned later is not told. */
-  Digests(gsHallMembership const& table, gsTime now);
+  /** Keeps a reference to the table, which must outlive this object. Changes
+   * to the table do not affect digests that are already cached. */
+  DigestCache(gsHallMembership const& table, gsTime now);
 
-  Made const& For(std::string const& hall);
+  /** The digest for the hosts of a hall, created on the first call. */
+  Entry const& Get(std::string const& hall);
 
 private:
   gsHallMembership const& Table;
   gsTime Now;
-  std::map<std::string, Made> ByHall;
+  std::map<std::string, Entry> ByHall;
 };
 
-/** Names the digest that holds, and adds it if the peer lacks it. */
+/** Sets the hash of the current digest in a message, and adds the digest
+ * itself if the peer requested it or was last sent a different one. */
 void AddDigest(gsHallMessage& message, gsHallPeer& peer,
-               Digests::Made const& made);
+               DigestCache::Entry const& entry);
 
 } // namespace gsHallDetail
--- a/Source/Coord/gsHallDigest.cxx
+++ b/Source/Coord/gsHallDigest.cxx
@@ -1,7 +1,7 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * What hosts tell each other of halls, and how they take it in.
+ * Creation, hashing and processing of the digests that hosts exchange.
  */
 #include "gsHallDetail.h"
 
@@ -15,31 +15,33 @@
 namespace {
 
 /**
- * Takes over what is said of a hall. Its hosts are counted only by the word of
- * a hall itself: words that are passed on would keep a dead hall alive.
+ * Applies a summary of a hall. The host count is applied only from an
+ * authoritative summary, one that originates in the hall itself: forwarded
+ * reports would keep a dead hall listed.
  */
-void TakeSummary(gsHallMembership& table, gsHallSummary const& summary,
-                 bool believed, gsTime now)
+void ApplySummary(gsHallMembership& table, gsHallSummary const& summary,
+                  bool authoritative, gsTime now)
 {
-  for (gsHallHost const& host : summary.First) {
+  for (gsHallHost const& host : summary.FirstHosts) {
     if (host.Hall == summary.Hall) {
-      LearnTold(table, host, believed, now);
+      ApplyIndirectReport(table, host, authoritative, now);
     }
   }
   if (summary.Hall == table.Self.Hall || summary.Hall.empty()) {
     return;
   }
-  gsOtherHall& hall = table.Others[summary.Hall];
-  if (believed && summary.Hosts > 0) {
-    hall.Hosts = summary.Hosts;
-    hall.Heard = now;
+  gsOtherHall& hall = table.OtherHalls[summary.Hall];
+  if (authoritative && summary.HostCount > 0) {
+    hall.HostCount = summary.HostCount;
+    hall.ReportedAt = now;
   }
-  // Those that are not named any more make room for those that are.
+  // Removes contacts that are no longer reported, to make room for current
+  // ones. Excluded contacts stay until their exclusion ends.
   hall.Contacts.erase(std::remove_if(hall.Contacts.begin(),
                                      hall.Contacts.end(),
                                      [&](gsHallPeer const& peer) {
-                                       return !IsContact(table, peer, now) &&
-                                              peer.AvoidUntil <= now;
+                                       return !MayBeUp(table, peer, now) &&
+                                              peer.ExcludedUntil <= now;
                                      }),
                       hall.Contacts.end());
   SortContacts(table, hall, now);
@@ -47,92 +49,107 @@
 
 } // namespace
 
-/** Takes in a digest, be it new or one that still holds. */
-void TakeDigest(gsHallMembership& table, std::string const& sendersHall,
-                gsHallDigest const& digest, gsTime now)
+/**
+ * A summary is authoritative if its hall sent it. On a host that is no
+ * coordinator, all summaries from its own hall are, as it receives reports of
+ * other halls only through its coordinators.
+ */
+void ApplyDigest(gsHallMembership& table, std::string const& sendersHall,
+                 gsHallDigest const& digest, gsTime now)
 {
-  bool coordinates = Coordinates(table, now);
-  auto believed = [&](gsHallSummary const& summary) {
-    bool passedOn = sendersHall == table.Self.Hall && !coordinates;
-    return summary.Hall == sendersHall || passedOn;
+  bool isCoordinator = IsCoordinator(table, now);
+  auto authoritative = [&](gsHallSummary const& summary) {
+    bool isForwarded = sendersHall == table.Self.Hall && !isCoordinator;
+    return summary.Hall == sendersHall || isForwarded;
   };
-  bool fromOwn = sendersHall == table.Self.Hall && !coordinates &&
-                 digest.Receivers.Hosts > 0;
-  if (fromOwn) {
-    // Halls that its coordinator no longer names are out of reach.
-    for (auto& [name, hall] : table.Others) {
-      hall.Heard = gsTime{};
+  bool fromOwnCoordinator = sendersHall == table.Self.Hall && !isCoordinator &&
+                            digest.ReceiverHall.HostCount > 0;
+  if (fromOwnCoordinator) {
+    // Halls that the coordinator no longer reports become unreachable.
+    for (auto& [name, hall] : table.OtherHalls) {
+      hall.ReportedAt = gsTime{};
     }
   }
-  TakeSummary(table, digest.Receivers, believed(digest.Receivers), now);
-  for (gsHallSummary const& other : digest.Others) {
-    TakeSummary(table, other, believed(other), now);
+  ApplySummary(table, digest.ReceiverHall, authoritative(digest.ReceiverHall),
+               now);
+  for (gsHallSummary const& other : digest.OtherHalls) {
+    ApplySummary(table, other, authoritative(other), now);
   }
 }
 
 namespace {
 
-/** Another hall, with those of its hosts that may be asked. */
-gsHallSummary SummaryOf(gsHallMembership const& table, std::string const& name,
-                        gsOtherHall const& hall, std::size_t most, gsTime now)
+/** Summary of another hall, with those of its hosts that may be sent requests.
+ */
+gsHallSummary OtherHallSummary(gsHallMembership const& table,
+                               std::string const& name,
+                               gsOtherHall const& hall, std::size_t maxHosts,
+                               gsTime now)
 {
   gsHallSummary summary;
   summary.Hall = name;
-  bool heard = IsWithin(hall.Heard, table.Settings.HallMemory, now);
-  summary.Hosts = heard ? hall.Hosts : 0;
+  bool isCurrent = IsRecent(hall.ReportedAt, table.Settings.HallTimeout, now);
+  summary.HostCount = isCurrent ? hall.HostCount : 0;
   for (gsHallPeer const& peer : hall.Contacts) {
-    // What other halls say of it is not passed on: it would go round.
-    gsTime last = std::max(peer.Heard, peer.Named);
-    if (summary.First.size() < most && peer.AvoidUntil <= now &&
-        IsWithin(last, table.Settings.ToldMemory, now) && !peer.Host.Leaving) {
-      summary.First.push_back(peer.Host);
+    // Reports from other halls are not forwarded, as they would circulate
+    // between halls.
+    gsTime reportedAt = std::max(peer.ReceivedAt, peer.ReportedByOwnHallAt);
+    if (summary.FirstHosts.size() < maxHosts && peer.ExcludedUntil <= now &&
+        IsRecent(reportedAt, table.Settings.IndirectReportLifetime, now) &&
+        !peer.Host.Leaving) {
+      summary.FirstHosts.push_back(peer.Host);
     }
   }
   return summary;
 }
 
-/** This host's own hall: only hosts that it has heard itself, as words that
- * are passed on would keep the dead alive. */
-gsHallSummary OwnSummary(gsHallMembership const& table, std::size_t most,
-                         gsTime now)
+/** Summary of this host's own hall. It lists only hosts from which this host
+ * receives messages itself, as forwarded reports would keep dead hosts listed.
+ */
+gsHallSummary OwnHallSummary(gsHallMembership const& table,
+                             std::size_t maxHosts, gsTime now)
 {
   gsHallSummary summary;
   summary.Hall = table.Self.Hall;
-  for (gsHallHost const* host : Order(table, true, now)) {
-    if (summary.First.size() < most) {
-      summary.First.push_back(*host);
+  for (gsHallHost const* host : HostsInDutyOrder(table, true, now)) {
+    if (summary.FirstHosts.size() < maxHosts) {
+      summary.FirstHosts.push_back(*host);
     }
   }
-  summary.Hosts = Coordinates(table, now) ? HeardInHall(table, now) : 0;
+  summary.HostCount =
+    IsCoordinator(table, now) ? CountDirectHosts(table, now) : 0;
   return summary;
 }
 
-/** What the hosts of a hall are told. */
-gsHallDigest DigestFor(gsHallMembership const& table, std::string const& hall,
-                       gsTime now)
+/** Creates the digest for the hosts of a hall. */
+gsHallDigest CreateDigest(gsHallMembership const& table,
+                          std::string const& hall, gsTime now)
 {
   gsHallDigest digest;
-  bool coordinates = Coordinates(table, now);
-  std::size_t candidates = table.Settings.Candidates;
-  bool isOwn = hall == table.Self.Hall;
-  if (isOwn) {
-    digest.Receivers = OwnSummary(table, candidates, now);
+  bool isCoordinator = IsCoordinator(table, now);
+  std::size_t maxCandidates = table.Settings.MaxCandidates;
+  bool isOwnHall = hall == table.Self.Hall;
+  if (isOwnHall) {
+    digest.ReceiverHall = OwnHallSummary(table, maxCandidates, now);
   } else {
-    digest.Receivers.Hall = hall;
-    auto found = table.Others.find(hall);
-    if (found != table.Others.end()) {
-      digest.Receivers =
-        SummaryOf(table, hall, found->second, candidates, now);
+    digest.ReceiverHall.Hall = hall;
+    auto found = table.OtherHalls.find(hall);
+    if (found != table.OtherHalls.end()) {
+      digest.ReceiverHall =
+        OtherHallSummary(table, hall, found->second, maxCandidates, now);
     }
-    digest.Others.push_back(
-      OwnSummary(table, table.Settings.Coordinators, now));
+    digest.OtherHalls.push_back(
+      OwnHallSummary(table, table.Settings.MaxCoordinators, now));
   }
-  for (auto const& [name, other] : table.Others) {
-    // Only what this host has from the hall itself, for the same reason.
-    bool known = IsWithin(other.Heard, table.Settings.HallMemory, now);
-    if (name != hall && known) {
-      digest.Others.push_back(SummaryOf(table, name, other, 1, now));
-      digest.Others.back().Hosts *= coordinates ? 1 : 0;
+  for (auto const& [name, other] : table.OtherHalls) {
+    // Halls without a current authoritative report are left out, as forwarded
+    // reports would keep dead halls listed.
+    bool hasReport =
+      IsRecent(other.ReportedAt, table.Settings.HallTimeout, now);
+    if (name != hall && hasReport) {
+      digest.OtherHalls.push_back(
+        OtherHallSummary(table, name, other, 1, now));
+      digest.OtherHalls.back().HostCount *= isCoordinator ? 1 : 0;
     }
   }
   return digest;
@@ -151,8 +168,8 @@
 void MixSummary(std::uint64_t& hash, gsHallSummary const& summary)
 {
   MixText(hash, summary.Hall);
-  MixNumber(hash, summary.Hosts);
-  for (gsHallHost const& host : summary.First) {
+  MixNumber(hash, summary.HostCount);
+  for (gsHallHost const& host : summary.FirstHosts) {
     MixText(hash, host.Host);
     MixNumber(hash, host.Incarnation);
   }
@@ -161,8 +178,8 @@
 std::uint64_t HashOf(gsHallDigest const& digest)
 {
   std::uint64_t hash = 1;
-  MixSummary(hash, digest.Receivers);
-  for (gsHallSummary const& summary : digest.Others) {
+  MixSummary(hash, digest.ReceiverHall);
+  for (gsHallSummary const& summary : digest.OtherHalls) {
     MixSummary(hash, summary);
   }
   return std::max<std::uint64_t>(hash, 1);
@@ -170,32 +187,32 @@
 
 } // namespace
 
-Digests::Digests(gsHallMembership const& table, gsTime now)
+DigestCache::DigestCache(gsHallMembership const& table, gsTime now)
   : Table(table)
   , Now(now)
 {
 }
 
-Digests::Made const& Digests::For(std::string const& hall)
+DigestCache::Entry const& DigestCache::Get(std::string const& hall)
 {
   auto found = this->ByHall.find(hall);
   if (found == this->ByHall.end()) {
-    Made made;
-    made.Digest = DigestFor(this->Table, hall, this->Now);
-    made.Hash = HashOf(made.Digest);
-    found = this->ByHall.emplace(hall, std::move(made)).first;
+    Entry entry;
+    entry.Digest = CreateDigest(this->Table, hall, this->Now);
+    entry.Hash = HashOf(entry.Digest);
+    found = this->ByHall.emplace(hall, std::move(entry)).first;
   }
   return found->second;
 }
 
 void AddDigest(gsHallMessage& message, gsHallPeer& peer,
-               Digests::Made const& made)
+               DigestCache::Entry const& entry)
 {
-  message.DigestHash = made.Hash;
-  if (peer.SentHash != made.Hash || peer.Asked) {
-    peer.SentHash = made.Hash;
-    peer.Asked = false;
-    message.Digest = made.Digest;
+  message.DigestHash = entry.Hash;
+  if (peer.SentDigestHash != entry.Hash || peer.DigestRequested) {
+    peer.SentDigestHash = entry.Hash;
+    peer.DigestRequested = false;
+    message.Digest = entry.Digest;
   }
 }
 
--- a/Source/Coord/gsHallMembership.cxx
+++ b/Source/Coord/gsHallMembership.cxx
@@ -1,7 +1,7 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * Heartbeats, asks and answers.
+ * Heartbeats between hosts, requests for digests, and the replies to them.
  */
 #include "gsHallMembership.h"
 
@@ -23,108 +23,121 @@
   return message;
 }
 
-/** A heartbeat to a coordinator; the caller decides whether it is told. */
-void Beat(gsHallMembership& table, gsHallPeer& peer, gsTime period,
-          Digests& digests, bool tell, gsTime now,
-          std::vector<gsHallMessage>& out)
+/** Sends a heartbeat to a coordinator, with the current digest if sendDigest
+ * is set or the peer has requested one. */
+void SendHeartbeat(gsHallMembership& table, gsHallPeer& peer, gsTime interval,
+                   DigestCache& digests, bool sendDigest, gsTime now,
+                   std::vector<gsHallMessage>& out)
 {
-  peer.NextBeat = now + period;
-  if (peer.Awaited.count() == 0) {
-    peer.Awaited = now;
+  peer.NextHeartbeat = now + interval;
+  if (peer.ReplyAwaitedSince.count() == 0) {
+    peer.ReplyAwaitedSince = now;
   }
   gsHallMessage message = MessageTo(peer.Host);
-  message.Self = table.Self;
-  message.Asks = std::exchange(peer.Missed, false);
-  if (tell || peer.Asked) {
-    AddDigest(message, peer, digests.For(peer.Host.Hall));
+  message.Sender = table.Self;
+  message.DigestRequested = std::exchange(peer.IsDigestMissing, false);
+  if (sendDigest || peer.DigestRequested) {
+    AddDigest(message, peer, digests.Get(peer.Host.Hall));
   }
   out.push_back(std::move(message));
 }
 
-/** A peer that has not been sent anything for long is first sent something
- * some time later. */
-bool IsDue(gsHallMembership const& table, gsHallPeer& peer, gsTime now,
-           gsRandom& random)
+/** Whether a heartbeat to a peer is due. If the last one was due more than two
+ * heartbeat intervals ago, the next is postponed by a random delay of up to
+ * HeartbeatJitter. */
+bool IsHeartbeatDue(gsHallMembership const& table, gsHallPeer& peer,
+                    gsTime now, gsRandom& random)
 {
-  gsTime const old = 2 * table.Settings.Period;
-  if (now - peer.NextBeat > old) {
-    std::uniform_int_distribution<std::int64_t> spread(
-      0, table.Settings.Spread.count());
-    peer.NextBeat = now + gsTime(spread(random));
-    peer.Awaited = gsTime{};
+  gsTime const maxDelay = 2 * table.Settings.HeartbeatInterval;
+  if (now - peer.NextHeartbeat > maxDelay) {
+    std::uniform_int_distribution<std::int64_t> jitter(
+      0, table.Settings.HeartbeatJitter.count());
+    peer.NextHeartbeat = now + gsTime(jitter(random));
+    peer.ReplyAwaitedSince = gsTime{};
   }
-  return now >= peer.NextBeat;
+  return now >= peer.NextHeartbeat;
 }
 
-/** Leaves coordinators and contacts that have not answered. */
-void LeaveSilent(gsHallMembership& table, gsHallPeer& peer, gsTime now)
+/** Excludes a coordinator or contact that has not replied within
+ * CoordinatorTimeout. */
+void ExcludeIfTimedOut(gsHallMembership& table, gsHallPeer& peer, gsTime now)
 {
-  gsTime last = std::max(peer.Heard, peer.Awaited);
-  bool waits = peer.Awaited.count() != 0;
-  if (waits && now - last > table.Settings.CoordinatorSilence) {
-    peer.AvoidUntil = now + table.Settings.Avoid;
-    peer.Awaited = gsTime{};
-    peer.Heard = gsTime{};
-    peer.Told = gsTime{};
-    ForgetDigests(peer);
+  gsTime lastActivity = std::max(peer.ReceivedAt, peer.ReplyAwaitedSince);
+  bool awaitsReply = peer.ReplyAwaitedSince.count() != 0;
+  if (awaitsReply && now - lastActivity > table.Settings.CoordinatorTimeout) {
+    peer.ExcludedUntil = now + table.Settings.ExclusionTime;
+    peer.ReplyAwaitedSince = gsTime{};
+    peer.ReceivedAt = gsTime{};
+    peer.ReportedAt = gsTime{};
+    ResetDigests(peer);
   }
 }
 
-void BeatHall(gsHallMembership& table, bool coordinates, Digests& digests,
-              gsTime now, gsRandom& random, std::vector<gsHallMessage>& out)
+/** Sends heartbeats that are due to the other coordinators of the own hall,
+ * and digests that are due to the hosts of the hall that send heartbeats here.
+ */
+void SendHallHeartbeats(gsHallMembership& table, bool isCoordinator,
+                        DigestCache& digests, gsTime now, gsRandom& random,
+                        std::vector<gsHallMessage>& out)
 {
   std::vector<std::string> coordinators = OtherCoordinators(table, now);
   for (std::string const& name : coordinators) {
-    gsHallPeer& peer = table.Hall[name];
-    LeaveSilent(table, peer, now);
-    if (peer.AvoidUntil <= now && IsDue(table, peer, now, random)) {
-      gsTime period =
-        coordinates ? table.Settings.DigestPeriod : table.Settings.Period;
-      Beat(table, peer, period, digests, coordinates, now, out);
+    gsHallPeer& peer = table.HallPeers[name];
+    ExcludeIfTimedOut(table, peer, now);
+    if (peer.ExcludedUntil <= now &&
+        IsHeartbeatDue(table, peer, now, random)) {
+      gsTime interval = isCoordinator ? table.Settings.DigestInterval
+                                      : table.Settings.HeartbeatInterval;
+      SendHeartbeat(table, peer, interval, digests, isCoordinator, now, out);
     }
   }
-  for (auto& [name, peer] : table.Hall) {
-    bool isTold = IsWithin(peer.BeatAt, table.Settings.HostSilence, now) &&
-                  std::find(coordinators.begin(), coordinators.end(), name) ==
-                    coordinators.end();
-    // Whoever speaks to this host is answered, also when it is mistaken in
-    // taking this host for a coordinator: the digest tells it who is.
-    if (!isTold || now < peer.NextBeat) {
+  for (auto& [name, peer] : table.HallPeers) {
+    bool receivesDigests =
+      IsRecent(peer.HeartbeatReceivedAt, table.Settings.HostTimeout, now) &&
+      std::find(coordinators.begin(), coordinators.end(), name) ==
+        coordinators.end();
+    // A host that sends heartbeats receives digests even if this host is not a
+    // coordinator, as the digest lists the actual coordinators.
+    if (!receivesDigests || now < peer.NextHeartbeat) {
       continue;
     }
-    peer.NextBeat = now + table.Settings.DigestPeriod;
+    peer.NextHeartbeat = now + table.Settings.DigestInterval;
     gsHallMessage message = MessageTo(peer.Host);
-    if (table.Self.Leaving || peer.Asked) {
-      message.Self = table.Self;
+    if (table.Self.Leaving || peer.DigestRequested) {
+      message.Sender = table.Self;
     }
-    AddDigest(message, peer, digests.For(table.Self.Hall));
+    AddDigest(message, peer, digests.Get(table.Self.Hall));
     out.push_back(std::move(message));
   }
 }
 
-void BeatOthers(gsHallMembership& table, Digests& digests, gsTime now,
-                gsRandom& random, std::vector<gsHallMessage>& out)
+/** Sends heartbeats that are due to the first contacts of each other hall. */
+void SendOtherHallHeartbeats(gsHallMembership& table, DigestCache& digests,
+                             gsTime now, gsRandom& random,
+                             std::vector<gsHallMessage>& out)
 {
-  for (auto& [name, hall] : table.Others) {
-    std::size_t taken = 0;
+  for (auto& [name, hall] : table.OtherHalls) {
+    std::size_t selected = 0;
     for (gsHallPeer& peer : hall.Contacts) {
-      if (taken == table.Settings.Coordinators) {
+      if (selected == table.Settings.MaxCoordinators) {
         break;
       }
-      LeaveSilent(table, peer, now);
-      if (peer.AvoidUntil > now || peer.Host.Leaving) {
+      ExcludeIfTimedOut(table, peer, now);
+      if (peer.ExcludedUntil > now || peer.Host.Leaving) {
         continue;
       }
-      ++taken;
-      if (IsDue(table, peer, now, random)) {
-        Beat(table, peer, table.Settings.Period, digests, true, now, out);
+      ++selected;
+      if (IsHeartbeatDue(table, peer, now, random)) {
+        SendHeartbeat(table, peer, table.Settings.HeartbeatInterval, digests,
+                      true, now, out);
       }
     }
   }
 }
 
-/** Addresses that may be asked, the most promising first. */
-std::vector<std::string> Askable(gsHallMembership const& table)
+/** Addresses to which requests may be sent: the seeds, starting with one that
+ * is chosen by a hash of the hall, then the contacts in other halls. */
+std::vector<std::string> RequestAddresses(gsHallMembership const& table)
 {
   std::vector<std::string> addresses;
   std::size_t count = table.Seeds.size();
@@ -132,7 +145,7 @@
   for (std::size_t i = 0; i < count; ++i) {
     addresses.push_back(table.Seeds[(first + i) % count]);
   }
-  for (auto const& [name, hall] : table.Others) {
+  for (auto const& [name, hall] : table.OtherHalls) {
     for (gsHallPeer const& peer : hall.Contacts) {
       addresses.push_back(peer.Host.Address);
     }
@@ -143,113 +156,128 @@
   return addresses;
 }
 
-void Ask(gsHallMembership& table, std::vector<gsHallMessage>& out)
+/** Sends a request for a digest to the next of the known addresses. */
+void SendRequest(gsHallMembership& table, std::vector<gsHallMessage>& out)
 {
-  std::vector<std::string> addresses = Askable(table);
+  std::vector<std::string> addresses = RequestAddresses(table);
   if (addresses.empty()) {
     return;
   }
   gsHallMessage message;
-  message.Address = addresses[table.AsksMade++ % addresses.size()];
-  message.Self = table.Self;
-  message.Asks = true;
+  message.Address = addresses[table.RequestCount++ % addresses.size()];
+  message.Sender = table.Self;
+  message.DigestRequested = true;
   out.push_back(std::move(message));
 }
 
-/** Asks while this host hears nobody of its hall. */
-void AskWhenAlone(gsHallMembership& table, gsTime now,
-                  std::vector<gsHallMessage>& out)
+/** Sends requests while this host receives no message from any other host of
+ * its hall. */
+void SendJoinRequest(gsHallMembership& table, gsTime now,
+                     std::vector<gsHallMessage>& out)
 {
-  bool alone = HeardInHall(table, now) <= 1;
-  if (!alone) {
-    table.AskDelay = gsTime{};
+  bool isAlone = CountDirectHosts(table, now) <= 1;
+  if (!isAlone) {
+    table.RequestInterval = gsTime{};
     return;
   }
-  if (now < table.NextAsk) {
+  if (now < table.NextRequest) {
     return;
   }
-  table.AskDelay = std::clamp(table.AskDelay * 2, table.Settings.AskFirst,
-                              table.Settings.AskMost);
-  table.NextAsk = now + table.AskDelay;
-  Ask(table, out);
+  table.RequestInterval = std::clamp(table.RequestInterval * 2,
+                                     table.Settings.InitialRequestInterval,
+                                     table.Settings.MaxRequestInterval);
+  table.NextRequest = now + table.RequestInterval;
+  SendRequest(table, out);
 }
 
-/** Asks now and then, so that parts of a system meet. */
-void AskToMeet(gsHallMembership& table, gsTime now,
-               std::vector<gsHallMessage>& out)
+/** Sends discovery requests, which merge parts of the system that formed
+ * without links to each other. */
+void SendDiscoveryRequest(gsHallMembership& table, gsTime now,
+                          std::vector<gsHallMessage>& out)
 {
-  if (now >= table.NextMeet) {
-    table.MeetDelay = std::min(table.MeetDelay * 2, table.Settings.MeetMost);
-    table.NextMeet = now + table.MeetDelay;
-    Ask(table, out);
+  if (now >= table.NextDiscovery) {
+    table.DiscoveryInterval = std::min(table.DiscoveryInterval * 2,
+                                       table.Settings.MaxDiscoveryInterval);
+    table.NextDiscovery = now + table.DiscoveryInterval;
+    SendRequest(table, out);
   }
 }
 
-/** Notes a host of another hall that is to be answered. */
-void NoteAsker(gsHallMembership& table, gsHallHost const& host, gsTime now)
+/** Adds a host of another hall that is to be sent a reply. */
+void AddRequester(gsHallMembership& table, gsHallHost const& host, gsTime now)
 {
-  bool waits = std::any_of(table.Askers.begin(), table.Askers.end(),
-                           [&host](gsHallAsker const& asker) {
-                             return asker.Host.Host == host.Host;
-                           });
-  if (!waits) {
-    table.Askers.push_back({ host, now });
+  bool isPresent =
+    std::any_of(table.Requesters.begin(), table.Requesters.end(),
+                [&host](gsHallRequester const& requester) {
+                  return requester.Host.Host == host.Host;
+                });
+  if (!isPresent) {
+    table.Requesters.push_back({ host, now });
   }
 }
 
-/** Takes in what a sender says of itself, and what it wants. */
-void HearSelf(gsHallMembership& table, gsHallHost const& host,
-              gsHallMessage const& message, gsTime now)
+/** Applies the description that a sender includes of itself, and its request.
+ */
+void ApplySenderDescription(gsHallMembership& table, gsHallHost const& host,
+                            gsHallMessage const& message, gsTime now)
 {
-  LearnSelf(table, host, now);
+  ApplySelfReport(table, host, now);
   if (host.Hall != table.Self.Hall) {
-    // One that takes this host for a coordinator is told who is; but answers,
-    // which bring a digest, are not answered.
-    bool mistaken = !message.Digest && !Coordinates(table, now);
-    if (message.Asks || mistaken) {
-      NoteAsker(table, host, now);
+    // A sender that wrongly considers this host a coordinator is sent a
+    // digest, which lists the actual ones. Messages with a digest may be
+    // replies, and are not replied to unless they request it.
+    bool isMisdirected = !message.Digest && !IsCoordinator(table, now);
+    if (message.DigestRequested || isMisdirected) {
+      AddRequester(table, host, now);
     }
     return;
   }
-  auto found = table.Hall.find(host.Host);
-  if (found == table.Hall.end()) {
-    return; // This host itself, by an older incarnation.
+  auto found = table.HallPeers.find(host.Host);
+  if (found == table.HallPeers.end()) {
+    return; // The sender is an older incarnation of this host.
   }
   gsHallPeer& peer = found->second;
-  peer.BeatAt = now;
-  if (message.Asks) {
-    peer.Asked = true;
-    peer.NextBeat = std::min(peer.NextBeat, now + table.Settings.Gather);
+  peer.HeartbeatReceivedAt = now;
+  if (message.DigestRequested) {
+    peer.DigestRequested = true;
+    peer.NextHeartbeat =
+      std::min(peer.NextHeartbeat, now + table.Settings.ReplyDelay);
   }
 }
 
-void Answer(gsHallMembership& table, Digests& digests, gsTime now,
-            std::vector<gsHallMessage>& out)
+/** Sends digests to hosts of other halls whose requests arrived at least
+ * ReplyDelay ago. */
+void SendReplies(gsHallMembership& table, DigestCache& digests, gsTime now,
+                 std::vector<gsHallMessage>& out)
 {
-  std::vector<gsHallAsker> later;
-  for (gsHallAsker& asker : table.Askers) {
-    if (now - asker.Since < table.Settings.Gather) {
-      later.push_back(std::move(asker));
+  std::vector<gsHallRequester> notDue;
+  for (gsHallRequester& requester : table.Requesters) {
+    if (now - requester.RequestedAt < table.Settings.ReplyDelay) {
+      notDue.push_back(std::move(requester));
       continue;
     }
-    gsHallMessage message = MessageTo(asker.Host);
-    message.Self = table.Self;
-    Digests::Made const& made = digests.For(asker.Host.Hall);
-    message.DigestHash = made.Hash;
-    message.Digest = made.Digest;
+    gsHallMessage message = MessageTo(requester.Host);
+    message.Sender = table.Self;
+    DigestCache::Entry const& entry = digests.Get(requester.Host.Hall);
+    message.DigestHash = entry.Hash;
+    message.Digest = entry.Digest;
     out.push_back(std::move(message));
   }
-  table.Askers = std::move(later);
+  table.Requesters = std::move(notDue);
 }
 
-/** Rows of hosts that are long gone do not stay. */
-void Forget(gsHallMembership& table, gsTime now)
+/** Removes peers of the own hall that were neither heard from, reported nor
+ * excluded for four times HostTimeout. */
+void RemoveStalePeers(gsHallMembership& table, gsTime now)
 {
-  gsTime const memory = 4 * table.Settings.HostSilence;
-  for (auto row = table.Hall.begin(); row != table.Hall.end();) {
-    gsHallPeer const& peer = row->second;
-    gsTime last = std::max({ peer.Heard, peer.Told, peer.AvoidUntil });
-    row = now - last > memory ? table.Hall.erase(row) : std::next(row);
+  gsTime const retention = 4 * table.Settings.HostTimeout;
+  for (auto iterator = table.HallPeers.begin();
+       iterator != table.HallPeers.end();) {
+    gsHallPeer const& peer = iterator->second;
+    gsTime lastActivity =
+      std::max({ peer.ReceivedAt, peer.ReportedAt, peer.ExcludedUntil });
+    iterator = now - lastActivity > retention ? table.HallPeers.erase(iterator)
+                                              : std::next(iterator);
   }
 }
 
@@ -259,24 +287,24 @@
                  std::vector<std::string> const& seeds, gsTime now)
 {
   table.Self = std::move(self);
-  table.Started = now;
-  table.MeetDelay = table.Settings.MeetFirst;
-  table.NextMeet = now + table.MeetDelay;
-  gsHallMeet(table, seeds, now);
+  table.StartedAt = now;
+  table.DiscoveryInterval = table.Settings.InitialDiscoveryInterval;
+  table.NextDiscovery = now + table.DiscoveryInterval;
+  gsHallAddSeeds(table, seeds, now);
 }
 
-void gsHallMeet(gsHallMembership& table,
-                std::vector<std::string> const& addresses, gsTime now)
+void gsHallAddSeeds(gsHallMembership& table,
+                    std::vector<std::string> const& addresses, gsTime now)
 {
   for (std::string const& address : addresses) {
-    bool isNew = std::find(table.Seeds.begin(), table.Seeds.end(), address) ==
-                 table.Seeds.end();
-    if (isNew) {
+    bool isNewSeed = std::find(table.Seeds.begin(), table.Seeds.end(),
+                               address) == table.Seeds.end();
+    if (isNewSeed) {
       table.Seeds.push_back(address);
-      table.NextAsk = std::min(table.NextAsk, now);
+      table.NextRequest = std::min(table.NextRequest, now);
     }
   }
-  // All hosts that were given the same have them in the same order.
+  // Hosts with the same seeds have to hold them in the same order.
   std::sort(table.Seeds.begin(), table.Seeds.end());
 }
 
@@ -284,75 +312,76 @@
                                       gsRandom& random)
 {
   std::vector<gsHallMessage> out;
-  Forget(table, now);
-  bool coordinates = Coordinates(table, now);
-  Digests digests(table, now);
-  BeatHall(table, coordinates, digests, now, random, out);
-  AskWhenAlone(table, now, out);
-  if (coordinates) {
-    BeatOthers(table, digests, now, random, out);
-    AskToMeet(table, now, out);
+  RemoveStalePeers(table, now);
+  bool isCoordinator = IsCoordinator(table, now);
+  DigestCache digests(table, now);
+  SendHallHeartbeats(table, isCoordinator, digests, now, random, out);
+  SendJoinRequest(table, now, out);
+  if (isCoordinator) {
+    SendOtherHallHeartbeats(table, digests, now, random, out);
+    SendDiscoveryRequest(table, now, out);
   }
-  Answer(table, digests, now, out);
+  SendReplies(table, digests, now, out);
   return out;
 }
 
-void gsHallHear(gsHallMembership& table, std::string_view host,
-                gsHallMessage const& message, gsTime now)
+void gsHallReceive(gsHallMembership& table, std::string_view host,
+                   gsHallMessage const& message, gsTime now)
 {
-  if (message.Self) {
-    HearSelf(table, *message.Self, message, now);
+  if (message.Sender) {
+    ApplySenderDescription(table, *message.Sender, message, now);
   }
   gsHallPeer* peer = FindPeer(table, host);
   if (peer == nullptr) {
     return;
   }
-  NoteHeard(table, *peer, now);
+  RecordActivity(table, *peer, now);
   std::string hall = peer->Host.Hall;
   if (message.Digest) {
-    peer->Taken = *message.Digest;
-    peer->TakenHash = message.DigestHash;
-    TakeDigest(table, hall, *message.Digest, now);
+    peer->ReceivedDigest = *message.Digest;
+    peer->ReceivedDigestHash = message.DigestHash;
+    ApplyDigest(table, hall, *message.Digest, now);
   } else if (message.DigestHash != 0 &&
-             message.DigestHash == peer->TakenHash) {
-    gsHallDigest holds = peer->Taken;
-    TakeDigest(table, hall, holds, now);
+             message.DigestHash == peer->ReceivedDigestHash) {
+    gsHallDigest repeatedDigest = peer->ReceivedDigest;
+    ApplyDigest(table, hall, repeatedDigest, now);
   } else if (message.DigestHash != 0) {
-    peer->Missed = true;
+    peer->IsDigestMissing = true;
   }
 }
 
-void gsHallNoteSign(gsHallMembership& table, std::string_view host, gsTime now)
+void gsHallRecordActivity(gsHallMembership& table, std::string_view host,
+                          gsTime now)
 {
   if (gsHallPeer* peer = FindPeer(table, host)) {
-    NoteHeard(table, *peer, now);
+    RecordActivity(table, *peer, now);
   }
 }
 
 void gsHallLinkDown(gsHallMembership& table, std::string_view host, gsTime now)
 {
   if (gsHallPeer* peer = FindPeer(table, host)) {
-    peer->AvoidUntil = now + table.Settings.Avoid;
-    peer->Heard = gsTime{};
-    peer->BeatAt = gsTime{};
-    peer->Told = gsTime{};
-    peer->Awaited = gsTime{};
-    ForgetDigests(*peer);
+    peer->ExcludedUntil = now + table.Settings.ExclusionTime;
+    peer->ReceivedAt = gsTime{};
+    peer->HeartbeatReceivedAt = gsTime{};
+    peer->ReportedAt = gsTime{};
+    peer->ReplyAwaitedSince = gsTime{};
+    ResetDigests(*peer);
   }
 }
 
-void gsHallNoteStall(gsHallMembership& table, gsTime now)
+void gsHallRecordStall(gsHallMembership& table, gsTime now)
 {
   auto refresh = [now](gsHallPeer& peer) {
-    peer.Heard = peer.Heard.count() == 0 ? peer.Heard : now;
-    peer.Told = peer.Told.count() == 0 ? peer.Told : now;
-    peer.Awaited = gsTime{};
+    peer.ReceivedAt = peer.ReceivedAt.count() == 0 ? peer.ReceivedAt : now;
+    peer.ReportedAt = peer.ReportedAt.count() == 0 ? peer.ReportedAt : now;
+    peer.ReplyAwaitedSince = gsTime{};
   };
-  for (auto& [name, peer] : table.Hall) {
+  for (auto& [name, peer] : table.HallPeers) {
     refresh(peer);
   }
-  for (auto& [name, hall] : table.Others) {
-    hall.Heard = hall.Heard.count() == 0 ? hall.Heard : now;
+  for (auto& [name, hall] : table.OtherHalls) {
+    hall.ReportedAt = hall.ReportedAt.count() == 0 ? hall.ReportedAt : now;
     for (gsHallPeer& peer : hall.Contacts) {
       refresh(peer);
     }
@@ -362,12 +391,12 @@
 void gsHallLeave(gsHallMembership& table, gsTime now)
 {
   table.Self.Leaving = true;
-  for (auto& [name, peer] : table.Hall) {
-    peer.NextBeat = now;
+  for (auto& [name, peer] : table.HallPeers) {
+    peer.NextHeartbeat = now;
   }
-  for (auto& [name, hall] : table.Others) {
+  for (auto& [name, hall] : table.OtherHalls) {
     for (gsHallPeer& peer : hall.Contacts) {
-      peer.NextBeat = now;
+      peer.NextHeartbeat = now;
     }
   }
 }
--- a/Source/Coord/gsHallPeers.cxx
+++ b/Source/Coord/gsHallPeers.cxx
@@ -1,8 +1,8 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * Which hosts are up, by what was heard of them and by whom, and the order of
- * duties that follows.
+ * Liveness of hosts, derived from received messages and from reports of other
+ * hosts, and the duty order that follows from it.
  */
 #include "gsHallDetail.h"
 
@@ -14,15 +14,16 @@
 
 namespace {
 
-constexpr std::string_view OrderKey = "hall-order";
+constexpr std::string_view DutyOrderKey = "hall-order";
 
-/** Strongest first; equally strong ones by a hash, so that all hosts agree. */
-bool ComesBefore(gsHallHost const& a, gsHallHost const& b)
+/** Whether a host precedes another in the duty order: by descending CPU share,
+ * then by a hash of the name, so that the order is the same on all hosts. */
+bool PrecedesInDutyOrder(gsHallHost const& a, gsHallHost const& b)
 {
   if (a.Millicores != b.Millicores) {
     return a.Millicores > b.Millicores;
   }
-  static std::uint64_t const key = gsHashText(OrderKey);
+  static std::uint64_t const key = gsHashText(DutyOrderKey);
   std::uint64_t weightA = gsRendezvousWeight(a.Host, key);
   std::uint64_t weightB = gsRendezvousWeight(b.Host, key);
   return weightA != weightB ? weightA > weightB : a.Host < b.Host;
@@ -30,9 +31,9 @@
 
 } // namespace
 
-bool IsWithin(gsTime at, gsTime span, gsTime now)
+bool IsRecent(gsTime at, gsTime duration, gsTime now)
 {
-  return at.count() != 0 && now - at <= span;
+  return at.count() != 0 && now - at <= duration;
 }
 
 namespace {
@@ -40,40 +41,38 @@
 bool IsUp(gsHallMembership const& table, gsHallPeer const& peer, gsTime now)
 {
   gsHallMembershipSettings const& settings = table.Settings;
-  return !peer.Host.Leaving && peer.AvoidUntil <= now &&
-         (IsWithin(peer.Heard, settings.HostSilence, now) ||
-          IsWithin(peer.Told, settings.ToldMemory, now));
+  return !peer.Host.Leaving && peer.ExcludedUntil <= now &&
+         (IsRecent(peer.ReceivedAt, settings.HostTimeout, now) ||
+          IsRecent(peer.ReportedAt, settings.IndirectReportLifetime, now));
 }
 
 } // namespace
 
-/** Hosts of the hall that are up, in order; those heard alone, if wanted. */
-std::vector<gsHallHost const*> Order(gsHallMembership const& table,
-                                     bool heardOnly, gsTime now)
+std::vector<gsHallHost const*> HostsInDutyOrder(gsHallMembership const& table,
+                                                bool directOnly, gsTime now)
 {
   std::vector<gsHallHost const*> order;
   if (!table.Self.Leaving) {
     order.push_back(&table.Self);
   }
-  for (auto const& [name, peer] : table.Hall) {
-    bool heard = IsWithin(peer.Heard, table.Settings.HostSilence, now);
-    if (IsUp(table, peer, now) && (heard || !heardOnly)) {
+  for (auto const& [name, peer] : table.HallPeers) {
+    bool isDirect = IsRecent(peer.ReceivedAt, table.Settings.HostTimeout, now);
+    if (IsUp(table, peer, now) && (isDirect || !directOnly)) {
       order.push_back(&peer.Host);
     }
   }
   std::sort(order.begin(), order.end(),
             [](gsHallHost const* a, gsHallHost const* b) {
-              return ComesBefore(*a, *b);
+              return PrecedesInDutyOrder(*a, *b);
             });
   return order;
 }
 
-/** Coordinators of the hall other than this host. */
 std::vector<std::string> OtherCoordinators(gsHallMembership const& table,
                                            gsTime now)
 {
-  std::vector<gsHallHost const*> order = Order(table, false, now);
-  order.resize(std::min(order.size(), table.Settings.Coordinators));
+  std::vector<gsHallHost const*> order = HostsInDutyOrder(table, false, now);
+  order.resize(std::min(order.size(), table.Settings.MaxCoordinators));
   std::vector<std::string> hosts;
   for (gsHallHost const* host : order) {
     if (host != &table.Self) {
@@ -83,33 +82,32 @@
   return hosts;
 }
 
-bool Coordinates(gsHallMembership const& table, gsTime now)
+bool IsCoordinator(gsHallMembership const& table, gsTime now)
 {
-  std::vector<gsHallHost const*> order = Order(table, false, now);
-  order.resize(std::min(order.size(), table.Settings.Coordinators));
+  std::vector<gsHallHost const*> order = HostsInDutyOrder(table, false, now);
+  order.resize(std::min(order.size(), table.Settings.MaxCoordinators));
   return std::find(order.begin(), order.end(), &table.Self) != order.end();
 }
 
-/** Contacts of another hall that may be up. */
-bool IsContact(gsHallMembership const& table, gsHallPeer const& peer,
-               gsTime now)
+bool MayBeUp(gsHallMembership const& table, gsHallPeer const& peer, gsTime now)
 {
-  return peer.AvoidUntil <= now &&
-         (IsWithin(peer.Heard, table.Settings.HallMemory, now) ||
-          IsWithin(peer.Told, table.Settings.HallMemory, now));
+  return peer.ExcludedUntil <= now &&
+         (IsRecent(peer.ReceivedAt, table.Settings.HallTimeout, now) ||
+          IsRecent(peer.ReportedAt, table.Settings.HallTimeout, now));
 }
 
-/** Those that may be up first: the dead must not take the room of others. */
+/** Contacts that may be up come first, so that dead ones do not displace them
+ * beyond MaxCandidates. */
 void SortContacts(gsHallMembership const& table, gsOtherHall& hall, gsTime now)
 {
   std::sort(hall.Contacts.begin(), hall.Contacts.end(),
             [&table, now](gsHallPeer const& a, gsHallPeer const& b) {
-              bool upA = IsContact(table, a, now);
-              bool upB = IsContact(table, b, now);
-              return upA != upB ? upA : ComesBefore(a.Host, b.Host);
+              bool upA = MayBeUp(table, a, now);
+              bool upB = MayBeUp(table, b, now);
+              return upA != upB ? upA : PrecedesInDutyOrder(a.Host, b.Host);
             });
-  if (hall.Contacts.size() > table.Settings.Candidates) {
-    hall.Contacts.resize(table.Settings.Candidates);
+  if (hall.Contacts.size() > table.Settings.MaxCandidates) {
+    hall.Contacts.resize(table.Settings.MaxCandidates);
   }
 }
 
@@ -127,14 +125,13 @@
 
 } // namespace
 
-/** The peer of that name, in whichever hall. */
 gsHallPeer* FindPeer(gsHallMembership& table, std::string_view host)
 {
-  auto found = table.Hall.find(host);
-  if (found != table.Hall.end()) {
+  auto found = table.HallPeers.find(host);
+  if (found != table.HallPeers.end()) {
     return &found->second;
   }
-  for (auto& [name, hall] : table.Others) {
+  for (auto& [name, hall] : table.OtherHalls) {
     if (gsHallPeer* peer = FindContact(hall, host)) {
       return peer;
     }
@@ -142,39 +139,39 @@
   return nullptr;
 }
 
-/** After a silence or a restart, digests are sent in full again. */
-void ForgetDigests(gsHallPeer& peer)
+void ResetDigests(gsHallPeer& peer)
 {
-  peer.SentHash = 0;
-  peer.TakenHash = 0;
-  peer.Taken = {};
-  peer.Missed = false;
+  peer.SentDigestHash = 0;
+  peer.ReceivedDigestHash = 0;
+  peer.ReceivedDigest = {};
+  peer.IsDigestMissing = false;
 }
 
 namespace {
 
-/** Takes a host's word of itself, or what another says of it. */
-void TakeHost(gsHallPeer& peer, gsHallHost const& host)
+/** Updates a peer from a description of its known or a newer incarnation. A
+ * newer incarnation ends the exclusion of the peer. */
+void UpdateHost(gsHallPeer& peer, gsHallHost const& host)
 {
   bool restarted = host.Incarnation > peer.Host.Incarnation;
   if (host.Incarnation >= peer.Host.Incarnation) {
     peer.Host = host;
   }
   if (restarted) {
-    peer.AvoidUntil = gsTime{};
-    peer.Awaited = gsTime{};
-    ForgetDigests(peer);
+    peer.ExcludedUntil = gsTime{};
+    peer.ReplyAwaitedSince = gsTime{};
+    ResetDigests(peer);
   }
 }
 
-gsHallPeer& PeerOf(gsHallMembership& table, gsHallHost const& host)
+gsHallPeer& FindOrAddPeer(gsHallMembership& table, gsHallHost const& host)
 {
   if (host.Hall == table.Self.Hall) {
-    return table.Hall[host.Host];
+    return table.HallPeers[host.Host];
   }
-  gsOtherHall& hall = table.Others[host.Hall];
-  if (gsHallPeer* known = FindContact(hall, host.Host)) {
-    return *known;
+  gsOtherHall& hall = table.OtherHalls[host.Hall];
+  if (gsHallPeer* existing = FindContact(hall, host.Host)) {
+    return *existing;
   }
   hall.Contacts.emplace_back();
   return hall.Contacts.back();
@@ -182,56 +179,59 @@
 
 } // namespace
 
-void NoteHeard(gsHallMembership& table, gsHallPeer& peer, gsTime now)
+void RecordActivity(gsHallMembership& table, gsHallPeer& peer, gsTime now)
 {
-  peer.Heard = now;
-  peer.Awaited = gsTime{};
-  peer.AvoidUntil = gsTime{};
-  table.Joined = table.Joined || peer.Host.Hall == table.Self.Hall;
+  peer.ReceivedAt = now;
+  peer.ReplyAwaitedSince = gsTime{};
+  peer.ExcludedUntil = gsTime{};
+  table.HasJoined = table.HasJoined || peer.Host.Hall == table.Self.Hall;
 }
 
-void LearnSelf(gsHallMembership& table, gsHallHost const& host, gsTime now)
+void ApplySelfReport(gsHallMembership& table, gsHallHost const& host,
+                     gsTime now)
 {
   if (host.Host == table.Self.Host) {
     return;
   }
-  gsHallPeer& peer = PeerOf(table, host);
-  TakeHost(peer, host);
-  NoteHeard(table, peer, now);
+  gsHallPeer& peer = FindOrAddPeer(table, host);
+  UpdateHost(peer, host);
+  RecordActivity(table, peer, now);
   if (host.Hall != table.Self.Hall) {
-    SortContacts(table, table.Others[host.Hall], now);
+    SortContacts(table, table.OtherHalls[host.Hall], now);
   }
 }
 
-void LearnTold(gsHallMembership& table, gsHallHost const& host, bool believed,
-               gsTime now)
+void ApplyIndirectReport(gsHallMembership& table, gsHallHost const& host,
+                         bool authoritative, gsTime now)
 {
   if (host.Host == table.Self.Host) {
     return;
   }
-  gsHallPeer& peer = PeerOf(table, host);
-  // What is said of a host does not make it leave, nor come back: it says so
-  // itself, with its next incarnation.
+  gsHallPeer& peer = FindOrAddPeer(table, host);
+  // A report of another host does not change the description of a known
+  // incarnation: only the host itself announces that it is leaving, and that
+  // it is back, with a new incarnation.
   bool isNew = peer.Host.Host.empty();
   if (isNew || host.Incarnation > peer.Host.Incarnation) {
-    TakeHost(peer, host);
+    UpdateHost(peer, host);
   }
-  peer.Told = now;
-  peer.Named = believed ? now : peer.Named;
+  peer.ReportedAt = now;
+  peer.ReportedByOwnHallAt = authoritative ? now : peer.ReportedByOwnHallAt;
 }
 
-std::uint32_t HeardInHall(gsHallMembership const& table, gsTime now)
+std::uint32_t CountDirectHosts(gsHallMembership const& table, gsTime now)
 {
-  return static_cast<std::uint32_t>(Order(table, true, now).size());
+  return static_cast<std::uint32_t>(HostsInDutyOrder(table, true, now).size());
 }
 
-/** A coordinator has heard them all; other hosts have its word. */
-std::uint32_t HostsOfHall(gsHallMembership const& table, gsTime now)
+/** A coordinator receives messages from all hosts of its hall; other hosts use
+ * the count in its digest. */
+std::uint32_t CountHallHosts(gsHallMembership const& table, gsTime now)
 {
-  std::uint32_t hosts = HeardInHall(table, now);
-  for (auto const& [name, peer] : table.Hall) {
-    if (IsWithin(peer.Heard, table.Settings.CoordinatorSilence, now)) {
-      hosts = std::max(hosts, peer.Taken.Receivers.Hosts);
+  std::uint32_t hosts = CountDirectHosts(table, now);
+  for (auto const& [name, peer] : table.HallPeers) {
+    if (IsRecent(peer.ReceivedAt, table.Settings.CoordinatorTimeout, now)) {
+      hosts = std::max(hosts, peer.ReceivedDigest.ReceiverHall.HostCount);
     }
   }
   return hosts;
@@ -247,10 +247,11 @@
 
 } // namespace
 
-std::vector<std::string> gsHallOrder(gsHallMembership const& table, gsTime now)
+std::vector<std::string> gsHallDutyOrder(gsHallMembership const& table,
+                                         gsTime now)
 {
   std::vector<std::string> hosts;
-  for (gsHallHost const* host : Order(table, false, now)) {
+  for (gsHallHost const* host : HostsInDutyOrder(table, false, now)) {
     hosts.push_back(host->Host);
   }
   return hosts;
@@ -259,13 +260,13 @@
 std::vector<std::string> gsHallWatchOrder(gsHallMembership const& table,
                                           gsTime now)
 {
-  std::vector<std::string> order = gsHallOrder(table, now);
-  bool knowsAll = Coordinates(table, now);
-  if (!knowsAll && order.size() > 1 && order.back() == table.Self.Host) {
+  std::vector<std::string> order = gsHallDutyOrder(table, now);
+  bool isComplete = IsCoordinator(table, now);
+  if (!isComplete && order.size() > 1 && order.back() == table.Self.Host) {
     order.pop_back();
   }
   std::size_t coordinators =
-    std::min(order.size(), table.Settings.Coordinators);
+    std::min(order.size(), table.Settings.MaxCoordinators);
   auto begin = order.begin();
   if (coordinators > 1) {
     std::rotate(begin, begin + 1,
@@ -276,20 +277,20 @@
 
 std::string gsHallRelay(gsHallMembership const& table, gsTime now)
 {
-  std::vector<gsHallHost const*> order = Order(table, false, now);
+  std::vector<gsHallHost const*> order = HostsInDutyOrder(table, false, now);
   return order.empty() ? std::string() : order.front()->Host;
 }
 
-bool gsHallCoordinates(gsHallMembership const& table, gsTime now)
+bool gsHallIsCoordinator(gsHallMembership const& table, gsTime now)
 {
-  return Coordinates(table, now);
+  return IsCoordinator(table, now);
 }
 
 std::vector<std::string> gsHallPeers(gsHallMembership const& table, gsTime now)
 {
   std::vector<std::string> hosts;
-  for (auto const& [name, peer] : table.Hall) {
-    if (IsWithin(peer.Heard, table.Settings.HostSilence, now)) {
+  for (auto const& [name, peer] : table.HallPeers) {
+    if (IsRecent(peer.ReceivedAt, table.Settings.HostTimeout, now)) {
       hosts.push_back(name);
     }
   }
@@ -300,17 +301,18 @@
                                              gsTime now)
 {
   std::vector<std::string> hosts;
-  if (!Coordinates(table, now)) {
+  if (!IsCoordinator(table, now)) {
     return hosts;
   }
-  for (auto const& [name, hall] : table.Others) {
-    std::size_t taken = 0;
+  for (auto const& [name, hall] : table.OtherHalls) {
+    std::size_t selected = 0;
     for (gsHallPeer const& peer : hall.Contacts) {
-      bool counts = IsWithin(peer.Heard, table.Settings.HallMemory, now) &&
-                    taken < table.Settings.Coordinators;
-      if (counts) {
+      bool isIncluded =
+        IsRecent(peer.ReceivedAt, table.Settings.HallTimeout, now) &&
+        selected < table.Settings.MaxCoordinators;
+      if (isIncluded) {
         hosts.push_back(peer.Host.Host);
-        ++taken;
+        ++selected;
       }
     }
   }
@@ -321,12 +323,12 @@
                                                  gsTime now)
 {
   std::map<std::string, std::string> relays;
-  for (auto const& [name, hall] : table.Others) {
-    if (!IsWithin(hall.Heard, table.Settings.HallMemory, now)) {
+  for (auto const& [name, hall] : table.OtherHalls) {
+    if (!IsRecent(hall.ReportedAt, table.Settings.HallTimeout, now)) {
       continue;
     }
     for (gsHallPeer const& peer : hall.Contacts) {
-      if (IsContact(table, peer, now) && !peer.Host.Leaving) {
+      if (MayBeUp(table, peer, now) && !peer.Host.Leaving) {
         relays[name] = peer.Host.Host;
         break;
       }
@@ -337,27 +339,28 @@
 
 std::size_t gsHallSize(gsHallMembership const& table, gsTime now)
 {
-  return std::max<std::size_t>(HostsOfHall(table, now), 1);
+  return std::max<std::size_t>(CountHallHosts(table, now), 1);
 }
 
 std::size_t gsSystemSize(gsHallMembership const& table, gsTime now)
 {
   std::size_t hosts = gsHallSize(table, now);
-  for (auto const& [name, hall] : table.Others) {
-    bool heard = IsWithin(hall.Heard, table.Settings.HallMemory, now);
-    hosts += heard ? hall.Hosts : 0;
+  for (auto const& [name, hall] : table.OtherHalls) {
+    bool isReported =
+      IsRecent(hall.ReportedAt, table.Settings.HallTimeout, now);
+    hosts += isReported ? hall.HostCount : 0;
   }
   return hosts;
 }
 
-bool gsHallDecides(gsHallMembership const& table, gsTime now)
+bool gsIsSystemLeader(gsHallMembership const& table, gsTime now)
 {
   if (gsHallRelay(table, now) != table.Self.Host) {
     return false;
   }
   std::vector<std::string_view> halls{ table.Self.Hall };
-  for (auto const& [name, hall] : table.Others) {
-    if (IsWithin(hall.Heard, table.Settings.HallMemory, now)) {
+  for (auto const& [name, hall] : table.OtherHalls) {
+    if (IsRecent(hall.ReportedAt, table.Settings.HallTimeout, now)) {
       halls.emplace_back(name);
     }
   }
@@ -382,15 +385,15 @@
   return peer == nullptr ? std::string_view() : peer->Host.Address;
 }
 
-bool gsHallAvoids(gsHallMembership const& table, std::string_view host,
-                  gsTime now)
+bool gsHallIsExcluded(gsHallMembership const& table, std::string_view host,
+                      gsTime now)
 {
   gsHallPeer const* peer =
     FindPeer(const_cast<gsHallMembership&>(table), host);
-  return peer != nullptr && peer->AvoidUntil > now;
+  return peer != nullptr && peer->ExcludedUntil > now;
 }
 
-bool gsHallKeepsLink(gsHallMembership const& table, std::string_view host,
+bool gsHallNeedsLink(gsHallMembership const& table, std::string_view host,
                      gsTime now)
 {
   std::vector<std::string> coordinators = OtherCoordinators(table, now);
@@ -398,15 +401,15 @@
       coordinators.end()) {
     return true;
   }
-  if (!Coordinates(table, now)) {
+  if (!IsCoordinator(table, now)) {
     return false;
   }
-  if (table.Hall.find(host) != table.Hall.end()) {
+  if (table.HallPeers.find(host) != table.HallPeers.end()) {
     return true;
   }
-  for (auto const& [name, hall] : table.Others) {
+  for (auto const& [name, hall] : table.OtherHalls) {
     std::size_t count =
-      std::min(hall.Contacts.size(), table.Settings.Coordinators);
+      std::min(hall.Contacts.size(), table.Settings.MaxCoordinators);
     for (std::size_t i = 0; i < count; ++i) {
       if (hall.Contacts[i].Host.Host == host) {
         return true;
--- a/Source/Coord/gsLease.cxx
+++ b/Source/Coord/gsLease.cxx
@@ -5,21 +5,22 @@
 
 namespace {
 
-bool IsOwn(gsLease const& lease, gsLeaseRow const& row)
+bool IsOwnRow(gsLease const& lease, gsLeaseRow const& row)
 {
   return row.Version != 0 && row.Holder == lease.Self &&
          row.Incarnation == lease.Incarnation;
 }
 
-/** Notes that the store had a row at a time; the latest is kept. */
-void See(gsLease& lease, gsLeaseRow const& row, gsTime at)
+/** Records that the store had a row at a time. Only the row with the highest
+ * version is kept. */
+void RecordRow(gsLease& lease, gsLeaseRow const& row, gsTime at)
 {
-  bool known = lease.SeenAt.count() != 0;
-  if (known && row.Version < lease.Row.Version) {
+  bool hasRow = lease.SeenAt.count() != 0;
+  if (hasRow && row.Version < lease.Row.Version) {
     return;
   }
-  if (known && row.Version == lease.Row.Version) {
-    // The earliest sight of a version counts.
+  if (hasRow && row.Version == lease.Row.Version) {
+    // The lease is timed from when its version was first seen.
     lease.SeenAt = std::min(lease.SeenAt, at);
     return;
   }
@@ -27,109 +28,114 @@
   lease.SeenAt = at;
 }
 
-/** When this host may take the lease from whoever holds it. */
-gsTime FreeAt(gsLease const& lease)
+/** When this host may attempt to acquire the lease from another holder. */
+gsTime AcquirableAt(gsLease const& lease)
 {
   if (lease.Row.Version == 0) {
-    return lease.Started;
+    return lease.StartedAt;
   }
-  return lease.SeenAt + lease.Settings.Time + lease.Settings.Margin;
+  return lease.SeenAt + lease.Settings.Duration + lease.Settings.SafetyMargin;
 }
 
-void RetryLater(gsLease& lease, gsTime now)
+void ScheduleRetry(gsLease& lease, gsTime now)
 {
-  lease.Delay = std::clamp(lease.Delay * 2, lease.Settings.RetryFirst,
-                           lease.Settings.RetryMost);
-  lease.NextTry = now + lease.Delay;
+  lease.RetryDelay =
+    std::clamp(lease.RetryDelay * 2, lease.Settings.InitialRetryDelay,
+               lease.Settings.MaxRetryDelay);
+  lease.NextWriteAt = now + lease.RetryDelay;
 }
 
 } // namespace
 
-std::optional<gsLeaseWrite> gsLeaseTick(gsLease& lease, bool contends,
+std::optional<gsLeaseWrite> gsLeaseTick(gsLease& lease, bool isContender,
                                         std::size_t rank, gsTime now)
 {
-  if (lease.Calling || !contends || now < lease.NextTry ||
+  if (lease.IsWritePending || !isContender || now < lease.NextWriteAt ||
       now < lease.AbstainUntil) {
     return std::nullopt;
   }
-  bool own = IsOwn(lease, lease.Row);
-  bool known = lease.SeenAt.count() != 0;
-  if (!own) {
-    gsTime behind = lease.Settings.Step * static_cast<std::int64_t>(rank);
-    if (now < FreeAt(lease) + behind) {
+  bool isOwn = IsOwnRow(lease, lease.Row);
+  bool hasRow = lease.SeenAt.count() != 0;
+  if (!isOwn) {
+    gsTime rankDelay =
+      lease.Settings.RankDelay * static_cast<std::int64_t>(rank);
+    if (now < AcquirableAt(lease) + rankDelay) {
       return std::nullopt;
     }
   }
-  lease.Calling = true;
-  lease.SentAt = now;
-  return gsLeaseWrite{ known ? lease.Row.Version : 0 };
+  lease.IsWritePending = true;
+  lease.WriteSentAt = now;
+  return gsLeaseWrite{ hasRow ? lease.Row.Version : 0 };
 }
 
-bool gsLeaseAnswer(gsLease& lease, gsLeaseReply const& reply, gsTime now)
+bool gsLeaseReceiveReply(gsLease& lease, gsLeaseReply const& reply, gsTime now)
 {
-  lease.Calling = false;
-  if (reply.Is == gsLeaseReply::Kind::Written) {
-    bool held = gsLeaseHolds(lease, now);
+  lease.IsWritePending = false;
+  if (reply.Result == gsLeaseReply::Kind::Written) {
+    bool wasHeld = gsLeaseIsHeld(lease, now);
     lease.Row = { reply.Version, lease.Self, lease.Incarnation };
-    lease.SeenAt = lease.SentAt;
+    lease.SeenAt = lease.WriteSentAt;
     lease.Token = reply.Version;
-    lease.HeldUntil = lease.SentAt + lease.Settings.Time;
-    lease.Delay = gsTime{};
-    lease.NextTry = lease.SentAt + lease.Settings.Renew;
-    bool begins = !held && gsLeaseHolds(lease, now);
-    lease.Taken += begins ? 1 : 0;
-    return begins;
+    lease.HeldUntil = lease.WriteSentAt + lease.Settings.Duration;
+    lease.RetryDelay = gsTime{};
+    lease.NextWriteAt = lease.WriteSentAt + lease.Settings.RenewInterval;
+    bool acquired = !wasHeld && gsLeaseIsHeld(lease, now);
+    lease.AcquiredCount += acquired ? 1 : 0;
+    return acquired;
   }
-  if (reply.Is == gsLeaseReply::Kind::Conflict) {
-    See(lease, reply.Row, now);
-    if (IsOwn(lease, reply.Row)) {
-      // A write of this host that had no answer; it is renewed at once.
-      lease.NextTry = now;
+  if (reply.Result == gsLeaseReply::Kind::Conflict) {
+    RecordRow(lease, reply.Row, now);
+    if (IsOwnRow(lease, reply.Row)) {
+      // An earlier write of this host, whose reply was lost, has succeeded.
+      // The lease is renewed at once.
+      lease.NextWriteAt = now;
       return false;
     }
     lease.HeldUntil = gsTime{};
   }
-  RetryLater(lease, now);
+  ScheduleRetry(lease, now);
   return false;
 }
 
-void gsLeaseHear(gsLease& lease, gsLeaseNews const& news, gsTime now)
+void gsLeaseReceiveUpdate(gsLease& lease, gsLeaseUpdate const& update,
+                          gsTime now)
 {
-  if (news.Row.Version == 0 || IsOwn(lease, news.Row)) {
+  if (update.Row.Version == 0 || IsOwnRow(lease, update.Row)) {
     return;
   }
-  if (news.Row.Version > lease.Token) {
-    // Somebody else wrote after this host's last write.
+  if (update.Row.Version > lease.Token) {
+    // Another host has written the row after this host's last write.
     lease.HeldUntil = gsTime{};
   }
-  See(lease, news.Row, now - news.Age);
+  RecordRow(lease, update.Row, now - update.Age);
 }
 
-std::optional<gsLeaseNews> gsLeaseTell(gsLease const& lease, gsTime now)
+std::optional<gsLeaseUpdate> gsLeaseCurrentUpdate(gsLease const& lease,
+                                                  gsTime now)
 {
-  bool fresh = lease.SeenAt.count() != 0 && lease.Row.Version != 0 &&
-               now - lease.SeenAt < FreeAt(lease) - lease.SeenAt;
-  if (!fresh) {
+  bool isInForce = lease.SeenAt.count() != 0 && lease.Row.Version != 0 &&
+                   now - lease.SeenAt < AcquirableAt(lease) - lease.SeenAt;
+  if (!isInForce) {
     return std::nullopt;
   }
-  return gsLeaseNews{ lease.Row, now - lease.SeenAt };
+  return gsLeaseUpdate{ lease.Row, now - lease.SeenAt };
 }
 
-bool gsLeaseHolds(gsLease const& lease, gsTime now)
+bool gsLeaseIsHeld(gsLease const& lease, gsTime now)
 {
   return lease.HeldUntil.count() != 0 && now < lease.HeldUntil;
 }
 
 std::string gsLeaseHolder(gsLease const& lease, gsTime now)
 {
-  std::optional<gsLeaseNews> news = gsLeaseTell(lease, now);
-  return news ? news->Row.Holder : std::string();
+  std::optional<gsLeaseUpdate> update = gsLeaseCurrentUpdate(lease, now);
+  return update ? update->Row.Holder : std::string();
 }
 
-void gsLeaseLose(gsLease& lease, gsTime now)
+void gsLeaseRevoke(gsLease& lease, gsTime now)
 {
   lease.HeldUntil = gsTime{};
-  RetryLater(lease, now);
+  ScheduleRetry(lease, now);
 }
 
 void gsLeaseAbstain(gsLease& lease, gsTime duration, gsTime now)
--- a/Source/Coord/gsLease.h
+++ b/Source/Coord/gsLease.h
@@ -1,18 +1,21 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * A lease on a duty that one host at a time may do, kept as a row of a store
- * that writes under a condition. Whoever writes the row on the version that it
- * has seen holds the lease; the version of that write is the fencing token.
+ * A lease on a duty that only one host at a time may perform, stored as a row
+ * of a store with conditional writes. A host acquires or renews the lease by
+ * writing the row on condition that the row still has the version which the
+ * host read last. The version of that write is the fencing token.
  *
- * A holder counts its time from before it sent the write that was
- * acknowledged, by its own steady clock, and does not act beyond it. Another
- * host takes the lease only after the same version has stood for that time and
- * a margin since it learned of it. So no two hosts act at the same time, no
- * host acts on a renewal that was not answered, and a host that lost the lease
- * holds it again no sooner than the lease's time after another began to.
+ * A holder measures the lease duration with its steady clock, starting before
+ * it sends the write that is acknowledged, and does not act after its end.
+ * Another host attempts to acquire the lease only after it has seen the same
+ * version for the lease duration and a safety margin. Therefore no two hosts
+ * act at the same time, no host acts on an unacknowledged renewal, and a host
+ * that has lost the lease can hold it again no sooner than one lease duration
+ * after another host acquired it.
  *
- * One plain struct and free functions; time is handed in, writes come out.
+ * The state is one plain struct. Callers pass in the current time and perform
+ * the returned writes.
  */
 #pragma once
 
@@ -22,103 +25,124 @@
 
 #include "gsTypes.h"
 
-/** The lease's row, as the store has it. */
+/** The lease's row in the store. */
 struct gsLeaseRow
 {
-  std::uint64_t Version = 0; ///< Zero: there is no row.
+  std::uint64_t Version = 0; ///< Zero if there is no row.
   std::string Holder;
-  std::uint64_t Incarnation = 0; ///< Of the holder's process.
+  std::uint64_t Incarnation = 0; ///< Identifies the holder's process.
 };
 
-/** What a holder tells others, so that they need not ask the store. */
-struct gsLeaseNews
+/** The lease's row as exchanged between hosts, so that they do not have to
+ * read the store. */
+struct gsLeaseUpdate
 {
   gsLeaseRow Row;
-  gsTime Age{}; ///< Since before the write was sent, at the latest.
+  gsTime Age{}; ///< Time since the sender's SeenAt; on the holder, since
+                ///< before its write was sent.
 };
 
 /** A write of the lease's row by this host. */
 struct gsLeaseWrite
 {
-  std::uint64_t Expected = 0; ///< Version that the row must have; 0 for none.
+  std::uint64_t ExpectedVersion = 0; ///< Version that the row must have; zero
+                                     ///< if there must be no row.
 };
 
-/** How a write ended. */
+/** The result of a write. */
 struct gsLeaseReply
 {
   enum class Kind
   {
-    Written,  ///< Version is the row's new one.
-    Conflict, ///< Nothing was done; Row is as the store has it.
-    Refused,  ///< Nothing was done, and nothing is known of the row.
-    NoAnswer  ///< It may have been done, or be done later.
+    Written,  ///< The row was written; Version is its new version.
+    Conflict, ///< Nothing was written; Row is the current row.
+    Refused,  ///< Nothing was written; the row is unknown.
+    NoAnswer  ///< The row may have been written, or may be written later.
   };
-  Kind Is = Kind::NoAnswer;
+  Kind Result = Kind::NoAnswer;
   std::uint64_t Version = 0;
   gsLeaseRow Row;
 };
 
 struct gsLeaseSettings
 {
-  /** A holder may act for so long after it began to renew. */
-  gsTime Time = gsMilliseconds(3000);
-  /** Between renewals: two may go unanswered before the time is over. */
-  gsTime Renew = gsMilliseconds(1100);
-  /** A successor waits so much longer than Time, for clocks of other rates
-   * and for what its predecessor sent last. */
-  gsTime Margin = gsMilliseconds(400);
-  /** A contender waits so long for each that comes before it. */
-  gsTime Step = gsMilliseconds(250);
-  gsTime RetryFirst = gsMilliseconds(150);
-  gsTime RetryMost = gsMilliseconds(1200);
+  /** How long a holder may act after it sent the last acknowledged write. */
+  gsTime Duration = gsMilliseconds(3000);
+  /** Interval between renewals. Two renewals can remain unanswered before the
+   * lease expires. */
+  gsTime RenewInterval = gsMilliseconds(1100);
+  /** Additional time after Duration that a successor waits, as clock rates
+   * differ and the last requests of its predecessor may be in transit. */
+  gsTime SafetyMargin = gsMilliseconds(400);
+  /** Additional time that a contender waits for each contender of higher
+   * priority. */
+  gsTime RankDelay = gsMilliseconds(250);
+  /** Delay before the first retry after a failed write; it doubles with each
+   * further one. */
+  gsTime InitialRetryDelay = gsMilliseconds(150);
+  /** Maximum delay between retries. */
+  gsTime MaxRetryDelay = gsMilliseconds(1200);
 };
 
-/** One host's view of the lease. */
+/** The state of the lease on one host. */
 struct gsLease
 {
   gsLeaseSettings Settings;
-  std::string Self;
-  std::uint64_t Incarnation = 0;
-  gsTime Started{}; ///< When this host began to look after the lease.
-  /** Newest that is known; none while SeenAt is zero. */
+  std::string Self;              ///< Name of this host.
+  std::uint64_t Incarnation = 0; ///< Identifies this host's process.
+  gsTime StartedAt{}; ///< When this host became a possible contender.
+  /** The row with the highest version seen; unknown while SeenAt is zero. */
   gsLeaseRow Row;
-  /** The store had Row at this time, or before it and not since changed. */
+  /** Time from which the lease of Row is counted: when a write of this host
+   * was sent, or for rows of other hosts the earliest time at which the store
+   * is known to have had the row. Zero if no row was seen yet. */
   gsTime SeenAt{};
-  std::uint64_t Token = 0; ///< Of the last acknowledged write of this host.
-  gsTime HeldUntil{};      ///< By it; zero once the belief has ended.
-  bool Calling = false;    ///< A write is under way.
-  gsTime SentAt{};         ///< When it was handed out.
-  gsTime NextTry{};
-  gsTime Delay{};          ///< Of the last retry.
-  gsTime AbstainUntil{};   ///< This host leaves the lease to others.
-  std::uint64_t Taken = 0; ///< Times that it became holder.
+  std::uint64_t Token = 0; ///< Version of the last acknowledged write of
+                           ///< this host; the fencing token.
+  gsTime HeldUntil{}; ///< Expiry of the lease by that write; zero if this host
+                      ///< does not hold it.
+  bool IsWritePending =
+    false;               ///< A write was returned and its result is not known.
+  gsTime WriteSentAt{};  ///< When the last write was returned.
+  gsTime NextWriteAt{};  ///< When the next write is allowed.
+  gsTime RetryDelay{};   ///< Current delay between retries.
+  gsTime AbstainUntil{}; ///< This host attempts no write until then.
+  std::uint64_t AcquiredCount =
+    0; ///< Number of times that this host became holder.
 };
 
 /**
- * A write that is due. Contends is whether this host may hold the lease at
- * all, and rank how many contenders come before it.
+ * Returns the next write, if one is due: a renewal, or an attempt to acquire
+ * an expired lease. IsContender is whether this host may hold the lease at
+ * all, and rank the number of contenders with higher priority.
  */
-std::optional<gsLeaseWrite> gsLeaseTick(gsLease& lease, bool contends,
+std::optional<gsLeaseWrite> gsLeaseTick(gsLease& lease, bool isContender,
                                         std::size_t rank, gsTime now);
 
-/** Takes in how the write under way ended; true if this host became holder,
- * which it was not before. */
-bool gsLeaseAnswer(gsLease& lease, gsLeaseReply const& reply, gsTime now);
+/** Applies the result of the pending write. \return Whether this host became
+ * the holder without having been it before. */
+bool gsLeaseReceiveReply(gsLease& lease, gsLeaseReply const& reply,
+                         gsTime now);
 
-/** Takes in what another host tells of the lease. */
-void gsLeaseHear(gsLease& lease, gsLeaseNews const& news, gsTime now);
+/** Applies a row received from another host. */
+void gsLeaseReceiveUpdate(gsLease& lease, gsLeaseUpdate const& update,
+                          gsTime now);
 
-/** What this host can tell others; absent if it knows nothing fresh. */
-std::optional<gsLeaseNews> gsLeaseTell(gsLease const& lease, gsTime now);
+/** The row to be sent to other hosts; empty if none was seen recently enough
+ * for its lease to be still in force. */
+std::optional<gsLeaseUpdate> gsLeaseCurrentUpdate(gsLease const& lease,
+                                                  gsTime now);
 
-/** Whether this host may act now, with Token. */
-bool gsLeaseHolds(gsLease const& lease, gsTime now);
+/** Whether this host holds the lease and may act now, using Token. */
+bool gsLeaseIsHeld(gsLease const& lease, gsTime now);
 
-/** Who holds the lease, as far as is known; empty when nobody does. */
+/** The holder of the lease by the last row seen; empty if that lease has
+ * expired. */
 std::string gsLeaseHolder(gsLease const& lease, gsTime now);
 
-/** A higher token was seen elsewhere: the belief ends at once. */
-void gsLeaseLose(gsLease& lease, gsTime now);
+/** Gives up the lease at once because a higher token was seen elsewhere. */
+void gsLeaseRevoke(gsLease& lease, gsTime now);
 
-/** Leaves the lease to others for a while, as this host cannot do the duty. */
+/** Gives up the lease and attempts no write for a while, as this host cannot
+ * perform the duty. */
 void gsLeaseAbstain(gsLease& lease, gsTime duration, gsTime now);
--- a/Source/Coord/gsLoadExchange.cxx
+++ b/Source/Coord/gsLoadExchange.cxx
@@ -6,9 +6,12 @@
 
 namespace {
 
+/** Adds a part to a sum. Of arrangements, the newest is kept; of event
+ * intervals, the shortest. */
 void Add(gsSystemLoad& sum, gsSystemLoad const& part)
 {
-  sum.CutOffHalls.insert(part.CutOffHalls.begin(), part.CutOffHalls.end());
+  sum.UnreachableHalls.insert(part.UnreachableHalls.begin(),
+                              part.UnreachableHalls.end());
   for (auto const& [service, arrangement] : part.Arrangements) {
     gsEngineArrangement& newest = sum.Arrangements[service];
     if (gsSupersedes(arrangement, newest)) {
@@ -17,150 +20,166 @@
   }
   for (auto const& [service, demand] : part.Services) {
     gsServiceDemand& total = sum.Services[service];
-    total.Long += demand.Long;
-    total.Tight += demand.Tight;
+    total.LongTokens += demand.LongTokens;
+    total.TightTokens += demand.TightTokens;
   }
   for (auto const& [upstream, load] : part.Upstreams) {
     gsUpstreamLoad& total = sum.Upstreams[upstream];
     total.Running += load.Running;
-    total.ReadTokens += load.ReadTokens;
+    total.PendingPromptTokens += load.PendingPromptTokens;
     total.MemoryTokens += load.MemoryTokens;
-    bool faster = load.PaceMicros != 0 && (total.PaceMicros == 0 ||
-                                           load.PaceMicros < total.PaceMicros);
-    total.PaceMicros = faster ? load.PaceMicros : total.PaceMicros;
+    bool shorter =
+      load.MinEventIntervalMicros != 0 &&
+      (total.MinEventIntervalMicros == 0 ||
+       load.MinEventIntervalMicros < total.MinEventIntervalMicros);
+    total.MinEventIntervalMicros =
+      shorter ? load.MinEventIntervalMicros : total.MinEventIntervalMicros;
   }
 }
 
-bool Fresh(gsLoadExchange const& exchange, gsHeardLoad const& heard,
-           gsTime now)
+/** Whether a received report has not expired. */
+bool IsUnexpired(gsLoadExchange const& exchange,
+                 gsReceivedLoad const& received, gsTime now)
 {
-  return now - heard.At <= exchange.Settings.Memory &&
-         now - heard.Since <= exchange.Settings.MostAge;
+  return now - received.ReceivedAt <= exchange.Settings.ReportLifetime &&
+         now - received.OldestHostReportAt <=
+           exchange.Settings.MaxHostReportAge;
 }
 
-using Words = std::vector<gsHeardLoad const*>;
+/** Pointers into gsLoadExchange::Received. */
+using Reports = std::vector<gsReceivedLoad const*>;
 
-/** Words of this hall's other hosts, one of them left out. */
-Words HallWords(gsLoadExchange const& exchange, std::string_view without,
-                gsTime now)
+/** Unexpired reports of the other hosts of this hall, excluding one host. */
+Reports HallReports(gsLoadExchange const& exchange, std::string_view excluded,
+                    gsTime now)
 {
-  Words words;
-  for (auto const& [host, heard] : exchange.Heard) {
-    bool counts = heard.Report.Scope == gsLoadScope::Host &&
-                  heard.Hall == exchange.Hall && host != without &&
-                  Fresh(exchange, heard, now);
+  Reports reports;
+  for (auto const& [host, received] : exchange.Received) {
+    bool counts = received.Report.Scope == gsLoadScope::Host &&
+                  received.Hall == exchange.Hall && host != excluded &&
+                  IsUnexpired(exchange, received, now);
     if (counts) {
-      words.push_back(&heard);
+      reports.push_back(&received);
     }
   }
-  return words;
+  return reports;
 }
 
-/** The last word of each other hall's relay. */
-Words OtherHallWords(gsLoadExchange const& exchange, gsTime now)
+/** The last unexpired report of each other hall, sent by its relay. */
+Reports OtherHallReports(gsLoadExchange const& exchange, gsTime now)
 {
-  std::map<std::string_view, gsHeardLoad const*> newest;
-  for (auto const& [host, heard] : exchange.Heard) {
-    bool counts = heard.Report.Scope == gsLoadScope::Hall &&
-                  heard.Hall != exchange.Hall && Fresh(exchange, heard, now);
+  std::map<std::string_view, gsReceivedLoad const*> newest;
+  for (auto const& [host, received] : exchange.Received) {
+    bool counts = received.Report.Scope == gsLoadScope::Hall &&
+                  received.Hall != exchange.Hall &&
+                  IsUnexpired(exchange, received, now);
     if (!counts) {
       continue;
     }
-    gsHeardLoad const*& best = newest[heard.Hall];
-    if (best == nullptr || heard.At > best->At) {
-      best = &heard;
+    gsReceivedLoad const*& last = newest[received.Hall];
+    if (last == nullptr || received.ReceivedAt > last->ReceivedAt) {
+      last = &received;
     }
   }
-  Words words;
-  words.reserve(newest.size());
-  for (auto const& [hall, heard] : newest) {
-    words.push_back(heard);
+  Reports reports;
+  reports.reserve(newest.size());
+  for (auto const& [hall, received] : newest) {
+    reports.push_back(received);
   }
-  return words;
+  return reports;
 }
 
-/** When the oldest of some words was said; now if there are none. */
-gsTime Oldest(Words const& words, gsTime now)
+/** When the oldest host report included in some reports was sent; now if there
+ * are none. */
+gsTime OldestHostReportAt(Reports const& reports, gsTime now)
 {
   gsTime oldest = now;
-  for (gsHeardLoad const* word : words) {
-    oldest = std::min(oldest, word->Since);
+  for (gsReceivedLoad const* report : reports) {
+    oldest = std::min(oldest, report->OldestHostReportAt);
   }
   return oldest;
 }
 
-/** Work of this hall's hosts, one of them left out. */
-gsSystemLoad HallWithout(gsLoadExchange const& exchange,
-                         gsSystemLoad const& own, std::string_view without,
-                         gsTime now)
+/** Work of the hosts of this hall, excluding one host. */
+gsSystemLoad HallLoad(gsLoadExchange const& exchange, gsSystemLoad const& own,
+                      std::string_view excluded, gsTime now)
 {
   gsSystemLoad sum;
-  if (without != exchange.Self) {
+  if (excluded != exchange.Self) {
     sum = own;
   }
-  for (gsHeardLoad const* heard : HallWords(exchange, without, now)) {
-    Add(sum, heard->Report.Load);
+  for (gsReceivedLoad const* received : HallReports(exchange, excluded, now)) {
+    Add(sum, received->Report.Load);
   }
   return sum;
 }
 
-/** Work of the other halls, by the last word of each hall's relay. */
-gsSystemLoad OtherHalls(gsLoadExchange const& exchange, gsTime now)
+/** Work of the other halls, according to the last report of each. */
+gsSystemLoad OtherHallsLoad(gsLoadExchange const& exchange, gsTime now)
 {
   gsSystemLoad sum;
-  for (gsHeardLoad const* heard : OtherHallWords(exchange, now)) {
-    Add(sum, heard->Report.Load);
+  for (gsReceivedLoad const* received : OtherHallReports(exchange, now)) {
+    Add(sum, received->Report.Load);
   }
-  // What other halls cannot reach says nothing of this one.
-  sum.CutOffHalls.clear();
+  // The reachability of halls from other halls is irrelevant to this hall.
+  sum.UnreachableHalls.clear();
   return sum;
 }
 
-/** What a relay has told this host, if it is no relay itself. */
-gsHeardLoad const* ToldByRelay(gsLoadExchange const& exchange, gsTime now)
+/** The last unexpired sum of all other hosts, received from the relay; null if
+ * there is none, or if this host is the relay. */
+gsReceivedLoad const* ReportFromRelay(gsLoadExchange const& exchange,
+                                      gsTime now)
 {
-  gsHeardLoad const* told = nullptr;
-  gsTime relayed{};
-  for (auto const& [host, heard] : exchange.Heard) {
-    bool newer = told == nullptr || heard.At > told->At;
-    if (heard.Report.Scope == gsLoadScope::Others && newer &&
-        Fresh(exchange, heard, now)) {
-      told = &heard;
+  gsReceivedLoad const* fromRelay = nullptr;
+  gsTime lastHostReport{};
+  for (auto const& [host, received] : exchange.Received) {
+    bool newer =
+      fromRelay == nullptr || received.ReceivedAt > fromRelay->ReceivedAt;
+    if (received.Report.Scope == gsLoadScope::Others && newer &&
+        IsUnexpired(exchange, received, now)) {
+      fromRelay = &received;
     }
-    if (heard.Report.Scope == gsLoadScope::Host) {
-      relayed = std::max(relayed, heard.At);
+    if (received.Report.Scope == gsLoadScope::Host) {
+      lastHostReport = std::max(lastHostReport, received.ReceivedAt);
     }
   }
-  // As a relay it has heard it all itself, and nobody tells it.
-  return told != nullptr && told->At > relayed ? told : nullptr;
+  // Only a relay receives reports of single hosts. It computes the sum itself,
+  // and no other relay sends it one.
+  return fromRelay != nullptr && fromRelay->ReceivedAt > lastHostReport
+           ? fromRelay
+           : nullptr;
 }
 
-bool MayTell(gsLoadExchange& exchange, std::string const& host, gsTime gap,
-             gsTime now)
+/** Whether the minimum interval since the last report to a host has passed. */
+bool MaySend(gsLoadExchange& exchange, std::string const& host,
+             gsTime interval, gsTime now)
 {
-  return now - exchange.Told[host].At >= gap;
+  return now - exchange.Sent[host].SentAt >= interval;
 }
 
-/** Adds a report unless the host was told the same a short while ago. */
-void Tell(gsLoadExchange& exchange, std::string const& host, gsLoadScope scope,
-          gsSystemLoad load, gsTime age, gsTime now,
-          std::vector<gsLoadMessage>& out)
+/** Adds a report to a host, unless the same load was sent to it less than
+ * RefreshInterval ago. */
+void AddReport(gsLoadExchange& exchange, std::string const& host,
+               gsLoadScope scope, gsSystemLoad load, gsTime age, gsTime now,
+               std::vector<gsLoadMessage>& messages)
 {
-  gsToldLoad& told = exchange.Told[host];
-  bool due = now - told.At >= exchange.Settings.Refresh;
-  if (!due && told.Load == load) {
+  gsSentLoad& sent = exchange.Sent[host];
+  bool due = now - sent.SentAt >= exchange.Settings.RefreshInterval;
+  if (!due && sent.Load == load) {
     return;
   }
-  told.Load = load;
-  told.At = now;
-  out.push_back({ host, { scope, std::move(load), age } });
+  sent.Load = load;
+  sent.SentAt = now;
+  messages.push_back({ host, { scope, std::move(load), age } });
 }
 
-void Forget(gsLoadExchange& exchange, gsTime now)
+void DiscardExpired(gsLoadExchange& exchange, gsTime now)
 {
-  for (auto row = exchange.Heard.begin(); row != exchange.Heard.end();) {
-    bool fresh = Fresh(exchange, row->second, now);
-    row = fresh ? std::next(row) : exchange.Heard.erase(row);
+  for (auto report = exchange.Received.begin();
+       report != exchange.Received.end();) {
+    bool unexpired = IsUnexpired(exchange, report->second, now);
+    report = unexpired ? std::next(report) : exchange.Received.erase(report);
   }
 }
 
@@ -168,11 +187,11 @@
 
 bool gsSupersedes(gsEngineArrangement const& a, gsEngineArrangement const& b)
 {
-  return std::tie(a.Version, a.LongEngines, a.Slow) >
-         std::tie(b.Version, b.LongEngines, b.Slow);
+  return std::tie(a.Version, a.LongEngines, a.SlowEngines) >
+         std::tie(b.Version, b.LongEngines, b.SlowEngines);
 }
 
-char const* gsLoadScopeWord(gsLoadScope scope)
+char const* gsLoadScopeName(gsLoadScope scope)
 {
   switch (scope) {
     case gsLoadScope::Host:
@@ -185,77 +204,84 @@
   return "others";
 }
 
-gsTime gsLoadGap(gsLoadSettings const& settings, std::size_t hallSize)
+gsTime gsLoadSendInterval(gsLoadSettings const& settings, std::size_t hallSize)
 {
-  return settings.GapOfEach * static_cast<std::int64_t>(hallSize);
+  return settings.SendIntervalPerHost * static_cast<std::int64_t>(hallSize);
 }
 
-void gsLoadHear(gsLoadExchange& exchange, std::string_view host,
-                std::string_view hall, gsLoadReport report, gsTime now)
+void gsApplyLoadReport(gsLoadExchange& exchange, std::string_view host,
+                       std::string_view hall, gsLoadReport report, gsTime now)
 {
-  gsHeardLoad& heard = exchange.Heard[std::string(host)];
-  heard.Hall = hall;
-  heard.Since = now - report.Age;
-  heard.Report = std::move(report);
-  heard.At = now;
+  gsReceivedLoad& received = exchange.Received[std::string(host)];
+  received.Hall = hall;
+  received.OldestHostReportAt = now - report.Age;
+  received.Report = std::move(report);
+  received.ReceivedAt = now;
 }
 
 std::vector<gsLoadMessage> gsLoadTick(gsLoadExchange& exchange,
                                       gsLoadPeers const& peers,
                                       gsSystemLoad const& own, gsTime now)
 {
-  std::vector<gsLoadMessage> out;
-  Forget(exchange, now);
-  gsTime gap =
-    exchange.Settings.GapOfEach * static_cast<std::int64_t>(peers.HallSize);
+  std::vector<gsLoadMessage> messages;
+  DiscardExpired(exchange, now);
+  gsTime interval = exchange.Settings.SendIntervalPerHost *
+                    static_cast<std::int64_t>(peers.HallSize);
   if (peers.Relay != exchange.Self) {
-    if (!peers.Relay.empty() && MayTell(exchange, peers.Relay, gap, now)) {
-      Tell(exchange, peers.Relay, gsLoadScope::Host, own, {}, now, out);
+    if (!peers.Relay.empty() &&
+        MaySend(exchange, peers.Relay, interval, now)) {
+      AddReport(exchange, peers.Relay, gsLoadScope::Host, own, {}, now,
+                messages);
     }
-    return out;
+    return messages;
   }
-  gsSystemLoad others = OtherHalls(exchange, now);
-  gsTime othersSince = Oldest(OtherHallWords(exchange, now), now);
-  for (std::string const& host : peers.Hall) {
-    if (MayTell(exchange, host, gap, now)) {
-      gsSystemLoad all = HallWithout(exchange, own, host, now);
+  gsSystemLoad others = OtherHallsLoad(exchange, now);
+  gsTime othersOldestAt =
+    OldestHostReportAt(OtherHallReports(exchange, now), now);
+  for (std::string const& host : peers.HallHosts) {
+    if (MaySend(exchange, host, interval, now)) {
+      gsSystemLoad all = HallLoad(exchange, own, host, now);
       Add(all, others);
-      gsTime since =
-        std::min(othersSince, Oldest(HallWords(exchange, host, now), now));
-      Tell(exchange, host, gsLoadScope::Others, std::move(all), now - since,
-           now, out);
+      gsTime oldestAt =
+        std::min(othersOldestAt,
+                 OldestHostReportAt(HallReports(exchange, host, now), now));
+      AddReport(exchange, host, gsLoadScope::Others, std::move(all),
+                now - oldestAt, now, messages);
     }
   }
-  gsSystemLoad hall = HallWithout(exchange, own, {}, now);
-  gsTime hallAge = now - Oldest(HallWords(exchange, {}, now), now);
+  gsSystemLoad hall = HallLoad(exchange, own, {}, now);
+  gsTime hallAge =
+    now - OldestHostReportAt(HallReports(exchange, {}, now), now);
   for (std::string const& host : peers.OtherRelays) {
-    if (MayTell(exchange, host, gap, now)) {
-      Tell(exchange, host, gsLoadScope::Hall, hall, hallAge, now, out);
+    if (MaySend(exchange, host, interval, now)) {
+      AddReport(exchange, host, gsLoadScope::Hall, hall, hallAge, now,
+                messages);
     }
   }
-  return out;
+  return messages;
 }
 
 gsSystemLoad gsLoadOfOthers(gsLoadExchange const& exchange, gsTime now)
 {
-  if (gsHeardLoad const* told = ToldByRelay(exchange, now)) {
-    return told->Report.Load;
+  if (gsReceivedLoad const* fromRelay = ReportFromRelay(exchange, now)) {
+    return fromRelay->Report.Load;
   }
-  gsSystemLoad sum = HallWithout(exchange, {}, exchange.Self, now);
-  Add(sum, OtherHalls(exchange, now));
+  gsSystemLoad sum = HallLoad(exchange, {}, exchange.Self, now);
+  Add(sum, OtherHallsLoad(exchange, now));
   return sum;
 }
 
-std::optional<gsTime> gsLoadSince(gsLoadExchange const& exchange, gsTime now)
+std::optional<gsTime> gsOldestHostReportAt(gsLoadExchange const& exchange,
+                                           gsTime now)
 {
-  if (gsHeardLoad const* told = ToldByRelay(exchange, now)) {
-    return told->Since;
+  if (gsReceivedLoad const* fromRelay = ReportFromRelay(exchange, now)) {
+    return fromRelay->OldestHostReportAt;
   }
-  Words words = HallWords(exchange, exchange.Self, now);
-  Words others = OtherHallWords(exchange, now);
-  words.insert(words.end(), others.begin(), others.end());
-  if (words.empty()) {
+  Reports reports = HallReports(exchange, exchange.Self, now);
+  Reports others = OtherHallReports(exchange, now);
+  reports.insert(reports.end(), others.begin(), others.end());
+  if (reports.empty()) {
     return std::nullopt;
   }
-  return Oldest(words, now);
+  return OldestHostReportAt(reports, now);
 }
--- a/Source/Coord/gsLoadExchange.h
+++ b/Source/Coord/gsLoadExchange.h
@@ -1,16 +1,18 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * How hosts tell each other the open work at the upstreams. Each host reports
- * its own to one relay of its hall, the first of its coordinators; relays tell
- * each other their halls' sums, and tell each host of their hall what all
- * others have open. So a host that is no relay sends and hears one report a
- * period, however many hosts there are, and a relay's cost grows with its
- * hall alone. A report is only a hint: what is old is not counted, and a
- * relay that dies is replaced as soon as membership chooses another.
+ * Exchange of the open work at the upstreams between hosts. Each host reports
+ * its own work to the relay of its hall, which is the first of the hall's
+ * coordinators. Relays send the sum of their hall to the other relays, and
+ * send each host of their hall the sum of all other hosts. A host that is not
+ * a relay therefore sends and receives one report per interval, regardless of
+ * the number of hosts, and the cost of a relay grows only with its hall.
  *
- * The state is one plain struct; time is handed in, reports to be sent come
- * out.
+ * Reports are hints: expired reports are not counted, and a failed relay is
+ * replaced as soon as membership selects another.
+ *
+ * The state is one plain struct. Callers pass in the current time and send the
+ * returned reports.
  */
 #pragma once
 
@@ -27,175 +29,198 @@
 /** Open work at one upstream. */
 struct gsUpstreamLoad
 {
-  std::uint32_t Running = 0;
-  std::uint32_t ReadTokens = 0;   ///< Of prompts, still to be read.
-  std::uint32_t MemoryTokens = 0; ///< Held by running requests.
-  /** Least pause between events that any host has measured; 0 for none. */
-  std::uint32_t PaceMicros = 0;
+  std::uint32_t Running = 0; ///< Running requests.
+  std::uint32_t PendingPromptTokens =
+    0;                            ///< Prompt tokens still to be processed.
+  std::uint32_t MemoryTokens = 0; ///< Tokens that running requests hold in
+                                  ///< memory.
+  /** Shortest interval between events that any host has measured; zero if none
+   * has measured one. */
+  std::uint32_t MinEventIntervalMicros = 0;
 
   friend bool operator==(gsUpstreamLoad const& a, gsUpstreamLoad const& b)
   {
-    return a.Running == b.Running && a.ReadTokens == b.ReadTokens &&
-           a.MemoryTokens == b.MemoryTokens && a.PaceMicros == b.PaceMicros;
+    return a.Running == b.Running &&
+           a.PendingPromptTokens == b.PendingPromptTokens &&
+           a.MemoryTokens == b.MemoryTokens &&
+           a.MinEventIntervalMicros == b.MinEventIntervalMicros;
   }
 };
 
-/** Work that a service was lately asked for, tokens. */
+/** Recent demand for a service, in tokens. */
 struct gsServiceDemand
 {
-  std::uint32_t Long = 0;
-  std::uint32_t Tight = 0;
+  /** Demand of requests whose prompts interfere with streams on the same
+   * engine. */
+  std::uint32_t LongTokens = 0;
+  std::uint32_t TightTokens = 0; ///< Demand of all other requests.
 
   friend bool operator==(gsServiceDemand const& a, gsServiceDemand const& b)
   {
-    return a.Long == b.Long && a.Tight == b.Tight;
+    return a.LongTokens == b.LongTokens && a.TightTokens == b.TightTokens;
   }
 };
 
-/** By a hash of the service's name. */
+/** Demand by the hash of the service's name. */
 using gsDemandMap = std::map<std::uint32_t, gsServiceDemand>;
 
-/** By a hash of the upstream's id; those with nothing to say are left out. */
+/** Load by the hash of the upstream's id. Upstreams without load are
+ * omitted. */
 using gsLoadMap = std::map<std::uint32_t, gsUpstreamLoad>;
 
 /**
- * How a service's engines are divided, as one host has decided for all. Hosts
- * that decided each for itself would send one subject to several engines.
+ * How the engines of a service are divided into groups. One host decides for
+ * all, because hosts that each decided on their own would send requests of the
+ * same subject to several engines.
  */
 struct gsEngineArrangement
 {
-  std::uint64_t Version = 0;     ///< Rises with each decision; 0 for none yet.
-  std::uint32_t LongEngines = 0; ///< For long prompts; 0 for no division.
-  std::vector<std::uint32_t> Slow; ///< Hashes of slow engines, ascending.
+  /** Incremented on each decision; zero before the first. */
+  std::uint64_t Version = 0;
+  /** Number of engines for long prompts; zero if engines are not divided. */
+  std::uint32_t LongEngines = 0;
+  std::vector<std::uint32_t>
+    SlowEngines; ///< Hashes of slow engines, ascending.
 
   friend bool operator==(gsEngineArrangement const& a,
                          gsEngineArrangement const& b)
   {
     return a.Version == b.Version && a.LongEngines == b.LongEngines &&
-           a.Slow == b.Slow;
+           a.SlowEngines == b.SlowEngines;
   }
 };
 
 /**
- * Whether a decision goes before another. Halls that were cut off from each
- * other count versions for themselves: of the same version one has to go
- * before, on all hosts the same one.
+ * Whether an arrangement supersedes another. Halls that are partitioned from
+ * each other increment versions independently, so arrangements of the same
+ * version are ordered by their contents, equally on all hosts.
  */
 bool gsSupersedes(gsEngineArrangement const& a, gsEngineArrangement const& b);
 
-/** By a hash of the service's name. */
+/** Arrangement by the hash of the service's name. */
 using gsArrangementMap = std::map<std::uint32_t, gsEngineArrangement>;
 
-/** Whose work a report counts. */
+/** The hosts whose work a report sums. */
 enum class gsLoadScope : std::uint32_t
 {
-  Host = 0,  ///< The sender's own.
-  Hall = 1,  ///< Of all hosts of the sender's hall.
-  Others = 2 ///< Of all hosts but the receiver.
+  Host = 0,  ///< The sender only.
+  Hall = 1,  ///< All hosts of the sender's hall.
+  Others = 2 ///< All hosts except the receiver.
 };
 
-char const* gsLoadScopeWord(gsLoadScope scope);
+char const* gsLoadScopeName(gsLoadScope scope);
 
-/** Open work and demand, of whatever hosts a report counts. */
+/** Open work and demand, summed over one or more hosts. */
 struct gsSystemLoad
 {
   gsLoadMap Upstreams;
   gsDemandMap Services;
-  gsArrangementMap Arrangements; ///< The newest known; not a sum.
-  /** Hashes of halls that hosts of the same hall cannot reach; not a sum. */
-  std::set<std::uint32_t> CutOffHalls;
+  gsArrangementMap Arrangements; ///< The newest of all hosts; not summed.
+  /** Hashes of the other halls that any of the hosts cannot reach. Discarded
+   * in reports from another hall. */
+  std::set<std::uint32_t> UnreachableHalls;
 
   friend bool operator==(gsSystemLoad const& a, gsSystemLoad const& b)
   {
     return a.Upstreams == b.Upstreams && a.Services == b.Services &&
-           a.Arrangements == b.Arrangements && a.CutOffHalls == b.CutOffHalls;
+           a.Arrangements == b.Arrangements &&
+           a.UnreachableHalls == b.UnreachableHalls;
   }
 };
 
+/** A report of open work, as sent between hosts. */
 struct gsLoadReport
 {
   gsLoadScope Scope = gsLoadScope::Host;
   gsSystemLoad Load;
-  gsTime Age{}; ///< Of the oldest word that it rests on, when it was sent.
+  /** Age of the oldest host report included in Load, at the time of sending;
+   * zero for the sender's own work and in reports from older releases. */
+  gsTime Age{};
 };
 
-/** What was last heard from one host. */
-struct gsHeardLoad
+/** The last report received from a host. */
+struct gsReceivedLoad
 {
-  std::string Hall;
+  std::string Hall; ///< Hall of the sender.
   gsLoadReport Report;
-  gsTime At{};
-  gsTime Since{}; ///< When the oldest word that it rests on was said.
+  gsTime ReceivedAt{};         ///< When the report was received.
+  gsTime OldestHostReportAt{}; ///< When the oldest host report included in it
+                               ///< was sent.
 };
 
-/** What was last told to one host. */
-struct gsToldLoad
+/** The last report sent to a host. */
+struct gsSentLoad
 {
   gsSystemLoad Load;
-  gsTime At{};
+  gsTime SentAt{}; ///< When it was sent.
 };
 
 struct gsLoadSettings
 {
-  /** Unchanged reports are repeated so often. */
-  gsTime Refresh = gsSeconds(1);
-  /** Reports are not believed any longer than this, */
-  gsTime Memory = gsMilliseconds(2500);
+  /** Interval after which an unchanged report is sent again. */
+  gsTime RefreshInterval = gsSeconds(1);
+  /** Reports expire this long after they were received. */
+  gsTime ReportLifetime = gsMilliseconds(2500);
   /**
-   * nor those that rest on a word older than this. Words go from a host over
-   * two relays to another host, and each may hold them for Memory.
+   * Reports that include a host report older than this expire as well. A host
+   * report reaches another host over two relays. Each relay and the receiver
+   * may keep it for ReportLifetime, three times in total.
    */
-  gsTime MostAge = gsMilliseconds(7500);
+  gsTime MaxHostReportAge = gsMilliseconds(7500);
   /**
-   * One host is told no more often than this for each host of the hall, so
-   * that a relay sends as many reports however large its hall is.
+   * Minimum interval between two reports to the same host, per host of the
+   * hall. The number of reports that a relay sends is therefore independent of
+   * the size of its hall.
    */
-  gsTime GapOfEach = gsMilliseconds(10);
+  gsTime SendIntervalPerHost = gsMilliseconds(10);
 };
 
 struct gsLoadExchange
 {
   gsLoadSettings Settings;
-  std::string Self;
-  std::string Hall;
-  std::map<std::string, gsHeardLoad> Heard; ///< By host.
-  std::map<std::string, gsToldLoad> Told;   ///< By host.
+  std::string Self;                               ///< Name of this host.
+  std::string Hall;                               ///< Hall of this host.
+  std::map<std::string, gsReceivedLoad> Received; ///< Last reports by sender.
+  std::map<std::string, gsSentLoad> Sent; ///< Last reports by receiver.
 };
 
-/** Whom reports go to. */
+/** The receivers of this host's reports. */
 struct gsLoadPeers
 {
-  std::string Relay; ///< Of the own hall; empty if there is none.
-  /** Other hosts of the own hall; only the relay has to know them. */
-  std::vector<std::string> Hall;
-  std::vector<std::string> OtherRelays; ///< One of each other hall.
-  std::size_t HallSize = 1;             ///< Hosts of the hall, all counted.
+  std::string Relay; ///< Relay of this host's hall; empty if there is none.
+  /** Other hosts of this hall; set only on the relay. */
+  std::vector<std::string> HallHosts;
+  /** One relay of each other hall; set only on the relay. */
+  std::vector<std::string> OtherRelays;
+  std::size_t HallSize = 1; ///< Hosts of this hall, including this host.
 };
 
-/** A report to be sent. */
+/** A report to be sent to a host. */
 struct gsLoadMessage
 {
   std::string To;
   gsLoadReport Report;
 };
 
-/** Least time between two reports to one host of a hall of that size. */
-gsTime gsLoadGap(gsLoadSettings const& settings, std::size_t hallSize);
+/** Minimum interval between two reports to the same host, for a hall of a
+ * given size. */
+gsTime gsLoadSendInterval(gsLoadSettings const& settings,
+                          std::size_t hallSize);
 
-/** Takes a report of another host in. */
-void gsLoadHear(gsLoadExchange& exchange, std::string_view host,
-                std::string_view hall, gsLoadReport report, gsTime now);
+/** Stores a report received from another host, replacing its last one. */
+void gsApplyLoadReport(gsLoadExchange& exchange, std::string_view host,
+                       std::string_view hall, gsLoadReport report, gsTime now);
 
-/** Reports that are due, with the sender's own work as it is now. */
+/** Discards expired reports. \return The reports that are due, given this
+ * host's current work. */
 std::vector<gsLoadMessage> gsLoadTick(gsLoadExchange& exchange,
                                       gsLoadPeers const& peers,
                                       gsSystemLoad const& own, gsTime now);
 
-/** Work of all other hosts, as far as it is known. */
+/** Work of all other hosts according to unexpired reports. */
 gsSystemLoad gsLoadOfOthers(gsLoadExchange const& exchange, gsTime now);
 
-/**
- * When the oldest word that gsLoadOfOthers rests on was said; absent when it
- * rests on none.
- */
-std::optional<gsTime> gsLoadSince(gsLoadExchange const& exchange, gsTime now);
+/** When the oldest host report included in gsLoadOfOthers was sent; empty if
+ * none is included. */
+std::optional<gsTime> gsOldestHostReportAt(gsLoadExchange const& exchange,
+                                           gsTime now);
--- a/Source/Coord/gsMembership.cxx
+++ b/Source/Coord/gsMembership.cxx
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::uint32_t CarryFactor = 3;
+constexpr std::uint32_t TransmissionFactor = 3;
 
 std::uint64_t DigestOf(gsMember const& member)
 {
@@ -19,11 +19,13 @@
   return gsRendezvousWeight(bytes, gsHashText(member.Host));
 }
 
-/** How often a piece of news is carried: a multiple of log2 of the size. */
-std::uint32_t CarryCount(gsMembership const& table)
+/** Number of messages on which an update is piggybacked: a multiple of the
+ * binary logarithm of the number of hosts. */
+std::uint32_t TransmissionCount(gsMembership const& table)
 {
   double size = static_cast<double>(table.Members.size()) + 2;
-  return CarryFactor * static_cast<std::uint32_t>(std::ceil(std::log2(size)));
+  return TransmissionFactor *
+         static_cast<std::uint32_t>(std::ceil(std::log2(size)));
 }
 
 std::vector<gsMember>::iterator LowerBound(gsMembership& table,
@@ -44,51 +46,52 @@
   return &*found;
 }
 
-bool Supersedes(gsMember const& news, gsMember const& known)
+bool Supersedes(gsMember const& update, gsMember const& known)
 {
-  if (news.Incarnation != known.Incarnation) {
-    return news.Incarnation > known.Incarnation;
+  if (update.Incarnation != known.Incarnation) {
+    return update.Incarnation > known.Incarnation;
   }
-  if (news.Refutation != known.Refutation) {
-    return news.Refutation > known.Refutation;
+  if (update.Refutation != known.Refutation) {
+    return update.Refutation > known.Refutation;
   }
-  return news.State > known.State;
+  return update.State > known.State;
 }
 
 void SetState(gsMembership& table, gsMember& member, gsMemberState state,
               std::string_view cause, gsTime now, gsMembershipOutput& out)
 {
-  gsMemberState before = member.State;
-  if (before == state) {
+  gsMemberState oldState = member.State;
+  if (oldState == state) {
     return;
   }
   table.Digest ^= DigestOf(member);
   member.State = state;
-  member.Since = now;
-  member.Carry = CarryCount(table);
+  member.ChangedAt = now;
+  member.RemainingTransmissions = TransmissionCount(table);
   table.Digest ^= DigestOf(member);
-  out.Changes.push_back({ member.Host, before, state, std::string(cause) });
+  out.Changes.push_back({ member.Host, oldState, state, std::string(cause) });
 }
 
 void AnnounceSelf(gsMembership& table)
 {
-  table.Self.Carry = CarryCount(table);
+  table.Self.RemainingTransmissions = TransmissionCount(table);
 }
 
-void Ping(gsMembership& table, std::string const& host, bool cross, gsTime now,
-          gsMembershipOutput& out)
+void Ping(gsMembership& table, std::string const& host, bool isCrossHall,
+          gsTime now, gsMembershipOutput& out)
 {
   gsProbe probe;
   probe.Sequence = table.NextSequence++;
   probe.Host = host;
-  probe.Sent = now;
-  probe.Cross = cross;
+  probe.SentAt = now;
+  probe.IsCrossHall = isCrossHall;
   out.Messages.push_back(
     { gsProbeMessage::Kind::Ping, host, probe.Sequence, {} });
   table.Probes.push_back(std::move(probe));
 }
 
-/** The next host of the own hall; each is taken once before any again. */
+/** The next host of the own hall to ping, in random order. Each is returned
+ * once before any is returned again. */
 std::string NextTarget(gsMembership& table, gsRandom& random)
 {
   for (int round = 0; round < 2; ++round) {
@@ -111,8 +114,8 @@
   return {};
 }
 
-void AskOthers(gsMembership& table, gsProbe const& probe, gsRandom& random,
-               gsMembershipOutput& out)
+void RequestIndirectProbes(gsMembership& table, gsProbe const& probe,
+                           gsRandom& random, gsMembershipOutput& out)
 {
   std::vector<std::string> helpers;
   for (gsMember const& member : table.Members) {
@@ -123,7 +126,7 @@
   }
   std::shuffle(helpers.begin(), helpers.end(), random);
   helpers.resize(
-    std::min<std::size_t>(helpers.size(), table.Settings.Indirect));
+    std::min<std::size_t>(helpers.size(), table.Settings.IndirectProbes));
   for (std::string const& helper : helpers) {
     out.Messages.push_back({ gsProbeMessage::Kind::PingRequest, helper,
                              probe.Sequence, probe.Host });
@@ -134,26 +137,26 @@
                  gsMembershipOutput& out)
 {
   for (gsProbe& probe : table.Probes) {
-    bool own = probe.OnBehalfOf.empty();
-    if (own && !probe.Cross && !probe.Indirect &&
-        now - probe.Sent >= table.Settings.PingTimeout) {
-      probe.Indirect = true;
-      AskOthers(table, probe, random, out);
+    bool isOwn = probe.Requester.empty();
+    if (isOwn && !probe.IsCrossHall && !probe.IndirectProbesRequested &&
+        now - probe.SentAt >= table.Settings.PingTimeout) {
+      probe.IndirectProbesRequested = true;
+      RequestIndirectProbes(table, probe, random, out);
     }
   }
-  auto unanswered = [&](gsProbe const& probe) {
-    gsTime limit =
-      probe.Cross ? table.Settings.CrossPeriod : table.Settings.Period;
-    return now - probe.Sent >= limit;
+  auto hasTimedOut = [&](gsProbe const& probe) {
+    gsTime timeout = probe.IsCrossHall ? table.Settings.CrossHallProbeInterval
+                                       : table.Settings.ProbeInterval;
+    return now - probe.SentAt >= timeout;
   };
   std::vector<gsProbe> expired;
   std::copy_if(table.Probes.begin(), table.Probes.end(),
-               std::back_inserter(expired), unanswered);
+               std::back_inserter(expired), hasTimedOut);
   table.Probes.erase(
-    std::remove_if(table.Probes.begin(), table.Probes.end(), unanswered),
+    std::remove_if(table.Probes.begin(), table.Probes.end(), hasTimedOut),
     table.Probes.end());
   for (gsProbe const& probe : expired) {
-    if (probe.OnBehalfOf.empty()) {
+    if (probe.Requester.empty()) {
       gsMembershipSuspect(table, probe.Host, "no_answer", now, out);
     }
   }
@@ -162,31 +165,32 @@
 void CheckSuspects(gsMembership& table, gsTime now, gsMembershipOutput& out)
 {
   for (gsMember& member : table.Members) {
-    gsTime limit = member.Hall == table.Self.Hall
-                     ? table.Settings.SuspectTime
-                     : table.Settings.CrossSuspectTime;
+    gsTime timeout = member.Hall == table.Self.Hall
+                       ? table.Settings.SuspicionTimeout
+                       : table.Settings.CrossHallSuspicionTimeout;
     if (member.State == gsMemberState::Suspect &&
-        now - member.Since >= limit) {
+        now - member.ChangedAt >= timeout) {
       SetState(table, member, gsMemberState::Dead, "suspicion_over", now, out);
     }
   }
-  auto forgotten = [&](gsMember const& member) {
+  auto isExpired = [&](gsMember const& member) {
     return member.State == gsMemberState::Dead &&
-           now - member.Since >= table.Settings.ForgetDead;
+           now - member.ChangedAt >= table.Settings.DeadRetention;
   };
   for (gsMember const& member : table.Members) {
-    if (forgotten(member)) {
+    if (isExpired(member)) {
       table.Digest ^= DigestOf(member);
     }
   }
   table.Members.erase(
-    std::remove_if(table.Members.begin(), table.Members.end(), forgotten),
+    std::remove_if(table.Members.begin(), table.Members.end(), isExpired),
     table.Members.end());
 }
 
-/** Pings one dead member, so that a healed cut is noticed. */
-void Revive(gsMembership& table, gsTime now, gsRandom& random,
-            gsMembershipOutput& out)
+/** Pings a random dead member, so that the end of a network partition is
+ * detected. */
+void PingDeadMember(gsMembership& table, gsTime now, gsRandom& random,
+                    gsMembershipOutput& out)
 {
   std::vector<std::string> dead;
   for (gsMember const& member : table.Members) {
@@ -201,7 +205,7 @@
 
 } // namespace
 
-char const* gsMemberStateWord(gsMemberState state)
+char const* gsMemberStateName(gsMemberState state)
 {
   switch (state) {
     case gsMemberState::Alive:
@@ -222,8 +226,8 @@
   table.Digest = DigestOf(table.Self);
   AnnounceSelf(table);
   table.NextPing = now;
-  table.NextCross = now;
-  table.NextRevive = now + table.Settings.RevivePeriod;
+  table.NextCrossHallPing = now;
+  table.NextDeadPing = now + table.Settings.DeadProbeInterval;
   table.NextSync = now;
 }
 
@@ -238,59 +242,59 @@
   CheckProbes(table, now, random, out);
   CheckSuspects(table, now, out);
   if (now >= table.NextPing) {
-    table.NextPing = now + table.Settings.Period;
+    table.NextPing = now + table.Settings.ProbeInterval;
     std::string target = NextTarget(table, random);
     if (!target.empty()) {
       Ping(table, target, false, now, out);
     }
   }
-  if (now >= table.NextCross) {
-    table.NextCross = now + table.Settings.CrossPeriod;
+  if (now >= table.NextCrossHallPing) {
+    table.NextCrossHallPing = now + table.Settings.CrossHallProbeInterval;
     for (std::string const& hall : gsOtherHalls(table)) {
-      Ping(table, gsPartnerOf(table, hall), true, now, out);
+      Ping(table, gsCrossHallPeer(table, hall), true, now, out);
     }
   }
-  if (now >= table.NextRevive) {
-    table.NextRevive = now + table.Settings.RevivePeriod;
-    Revive(table, now, random, out);
+  if (now >= table.NextDeadPing) {
+    table.NextDeadPing = now + table.Settings.DeadProbeInterval;
+    PingDeadMember(table, now, random, out);
   }
 }
 
-void gsMembershipLearn(gsMembership& table, gsMember const& news, gsTime now,
-                       gsMembershipOutput& out)
+void gsMembershipApplyUpdate(gsMembership& table, gsMember const& update,
+                             gsTime now, gsMembershipOutput& out)
 {
-  if (news.Host == table.Self.Host) {
-    bool about = news.Incarnation == table.Self.Incarnation;
-    if (about && news.Refutation >= table.Self.Refutation &&
-        news.State != table.Self.State) {
+  if (update.Host == table.Self.Host) {
+    bool isCurrentIncarnation = update.Incarnation == table.Self.Incarnation;
+    if (isCurrentIncarnation && update.Refutation >= table.Self.Refutation &&
+        update.State != table.Self.State) {
       table.Digest ^= DigestOf(table.Self);
-      table.Self.Refutation = news.Refutation + 1;
+      table.Self.Refutation = update.Refutation + 1;
       table.Digest ^= DigestOf(table.Self);
       AnnounceSelf(table);
     }
     return;
   }
-  auto place = LowerBound(table, news.Host);
-  if (place == table.Members.end() || place->Host != news.Host) {
-    place = table.Members.insert(place, news);
-    place->Since = now;
-    place->Carry = CarryCount(table);
-    table.Digest ^= DigestOf(*place);
+  auto entry = LowerBound(table, update.Host);
+  if (entry == table.Members.end() || entry->Host != update.Host) {
+    entry = table.Members.insert(entry, update);
+    entry->ChangedAt = now;
+    entry->RemainingTransmissions = TransmissionCount(table);
+    table.Digest ^= DigestOf(*entry);
     out.Changes.push_back(
-      { news.Host, gsMemberState::Dead, news.State, "joined" });
+      { update.Host, gsMemberState::Dead, update.State, "joined" });
     return;
   }
-  if (!Supersedes(news, *place)) {
+  if (!Supersedes(update, *entry)) {
     return;
   }
-  gsMemberState before = place->State;
-  table.Digest ^= DigestOf(*place);
-  *place = news;
-  place->Since = now;
-  place->Carry = CarryCount(table);
-  table.Digest ^= DigestOf(*place);
-  if (before != news.State) {
-    out.Changes.push_back({ news.Host, before, news.State, "told" });
+  gsMemberState oldState = entry->State;
+  table.Digest ^= DigestOf(*entry);
+  *entry = update;
+  entry->ChangedAt = now;
+  entry->RemainingTransmissions = TransmissionCount(table);
+  table.Digest ^= DigestOf(*entry);
+  if (oldState != update.State) {
+    out.Changes.push_back({ update.Host, oldState, update.State, "told" });
   }
 }
 
@@ -301,8 +305,9 @@
     { gsProbeMessage::Kind::Ack, std::string(from), sequence, {} });
   gsMember* member = Find(table, from);
   if (member != nullptr && member->State != gsMemberState::Alive) {
-    // Tell the sender what is said of it, so that it can refute.
-    member->Carry = std::max(member->Carry, 1U);
+    // The sender is sent its entry, so that it can refute its state.
+    member->RemainingTransmissions =
+      std::max(member->RemainingTransmissions, 1U);
   }
 }
 
@@ -314,8 +319,8 @@
     return;
   }
   Ping(table, std::string(target), false, now, out);
-  table.Probes.back().OnBehalfOf = from;
-  table.Probes.back().TheirSequence = sequence;
+  table.Probes.back().Requester = from;
+  table.Probes.back().RequesterSequence = sequence;
 }
 
 void gsMembershipOnAck(gsMembership& table, std::string_view from,
@@ -330,11 +335,12 @@
   if (probe == table.Probes.end()) {
     return;
   }
-  if (!probe->OnBehalfOf.empty()) {
-    out.Messages.push_back({ gsProbeMessage::Kind::Ack, probe->OnBehalfOf,
-                             probe->TheirSequence, probe->Host });
+  if (!probe->Requester.empty()) {
+    out.Messages.push_back({ gsProbeMessage::Kind::Ack, probe->Requester,
+                             probe->RequesterSequence, probe->Host });
   }
-  // A suspicion is taken back by the member itself, so that all agree.
+  // The ack does not clear a suspicion: only a refutation by the member itself
+  // does, so that all hosts reach the same state.
   table.Probes.erase(probe);
 }
 
@@ -362,32 +368,32 @@
   AnnounceSelf(table);
 }
 
-std::vector<gsMember> gsMembershipNews(gsMembership& table)
+std::vector<gsMember> gsMembershipNextUpdates(gsMembership& table)
 {
-  std::vector<gsMember> news;
-  if (table.Self.Carry > 0) {
-    --table.Self.Carry;
-    news.push_back(table.Self);
+  std::vector<gsMember> updates;
+  if (table.Self.RemainingTransmissions > 0) {
+    --table.Self.RemainingTransmissions;
+    updates.push_back(table.Self);
   }
   for (gsMember& member : table.Members) {
-    if (news.size() >= table.Settings.MaxCarried) {
+    if (updates.size() >= table.Settings.MaxUpdatesPerMessage) {
       break;
     }
-    if (member.Carry > 0) {
-      --member.Carry;
-      news.push_back(member);
+    if (member.RemainingTransmissions > 0) {
+      --member.RemainingTransmissions;
+      updates.push_back(member);
     }
   }
-  return news;
+  return updates;
 }
 
-bool gsMembershipWantsSync(gsMembership& table, std::uint64_t peerDigest,
+bool gsMembershipNeedsSync(gsMembership& table, std::uint64_t peerDigest,
                            gsTime now)
 {
   if (peerDigest == table.Digest || now < table.NextSync) {
     return false;
   }
-  table.NextSync = now + table.Settings.SyncPeriod;
+  table.NextSync = now + table.Settings.MinSyncInterval;
   return true;
 }
 
@@ -410,9 +416,9 @@
 {
   std::vector<std::string> halls;
   for (gsMember const& member : table.Members) {
-    bool counts =
+    bool isIncluded =
       member.Hall != table.Self.Hall && member.State != gsMemberState::Dead;
-    if (counts &&
+    if (isIncluded &&
         std::find(halls.begin(), halls.end(), member.Hall) == halls.end()) {
       halls.push_back(member.Hall);
     }
@@ -420,7 +426,7 @@
   return halls;
 }
 
-std::string gsPartnerOf(gsMembership const& table, std::string_view hall)
+std::string gsCrossHallPeer(gsMembership const& table, std::string_view hall)
 {
   std::vector<std::string_view> hosts;
   for (gsMember const& member : table.Members) {
--- a/Source/Coord/gsQuarantine.cxx
+++ b/Source/Coord/gsQuarantine.cxx
@@ -8,7 +8,8 @@
 
 namespace {
 
-std::size_t Count(gsSuspect const& suspect, gsCrashVerdict verdict)
+std::size_t CountVerdicts(gsSuspectRequest const& suspect,
+                          gsCrashVerdict verdict)
 {
   return static_cast<std::size_t>(
     std::count_if(suspect.Evidence.begin(), suspect.Evidence.end(),
@@ -17,139 +18,153 @@
                   }));
 }
 
-gsTime LastCrash(gsSuspect const& suspect)
+gsTime LastCrashAt(gsSuspectRequest const& suspect)
 {
-  gsTime last{};
+  gsTime lastCrashAt{};
   for (gsCrashEvidence const& piece : suspect.Evidence) {
     if (piece.Verdict == gsCrashVerdict::Crashed) {
-      last = std::max(last, piece.At);
+      lastCrashAt = std::max(lastCrashAt, piece.ObservedAt);
     }
   }
-  return last;
+  return lastCrashAt;
 }
 
-gsSuspicion SuspicionOf(gsQuarantineSettings const& settings,
-                        gsSuspect const& suspect, gsTime now)
+gsSuspicionLevel ComputeSuspicion(gsQuarantineSettings const& settings,
+                                  gsSuspectRequest const& suspect, gsTime now)
 {
-  std::size_t crashes = gsCrashesInSequence(suspect);
-  std::size_t survived = Count(suspect, gsCrashVerdict::Survived);
-  gsTime since = now - LastCrash(suspect);
-  bool over = since >= settings.Time + settings.Probation;
-  std::size_t allowed = settings.Crashes * survived;
-  if (over || crashes <= allowed) {
-    return gsSuspicion::None;
+  std::size_t crashes = gsSequentialCrashCount(suspect);
+  std::size_t survived = CountVerdicts(suspect, gsCrashVerdict::Survived);
+  gsTime sinceLastCrash = now - LastCrashAt(suspect);
+  bool isExpired =
+    sinceLastCrash >= settings.Duration + settings.ProbationDuration;
+  std::size_t toleratedCrashes = settings.CrashThreshold * survived;
+  if (isExpired || crashes <= toleratedCrashes) {
+    return gsSuspicionLevel::None;
   }
-  crashes -= allowed;
-  if (crashes >= settings.Crashes && since < settings.Time) {
-    return gsSuspicion::Quarantined;
+  crashes -= toleratedCrashes;
+  if (crashes >= settings.CrashThreshold &&
+      sinceLastCrash < settings.Duration) {
+    return gsSuspicionLevel::Quarantined;
   }
-  return crashes > 1 ? gsSuspicion::Contained : gsSuspicion::Suspected;
+  return crashes > 1 ? gsSuspicionLevel::Contained
+                     : gsSuspicionLevel::Suspected;
 }
 
-using SuspectMap = std::unordered_map<gsFingerprint, gsSuspect>;
+using SuspectMap = std::unordered_map<gsFingerprint, gsSuspectRequest>;
 
-void Erase(gsQuarantine& table, SuspectMap::iterator suspect)
+void EraseSuspect(gsQuarantine& table, SuspectMap::iterator suspect)
 {
-  auto count = table.OfOrganisation.find(suspect->second.Organisation);
-  if (count != table.OfOrganisation.end() && --count->second == 0) {
-    table.OfOrganisation.erase(count);
+  auto count =
+    table.SuspectsPerOrganisation.find(suspect->second.OrganisationHash);
+  if (count != table.SuspectsPerOrganisation.end() && --count->second == 0) {
+    table.SuspectsPerOrganisation.erase(count);
   }
   table.Suspects.erase(suspect);
 }
 
-/** Of the organisation, or of all: the one with the fewest crashes, and of
- * these the one that changed longest ago. */
-void EvictOne(gsQuarantine& table, std::uint32_t const* organisation)
+/** Evicts the suspect with the fewest crashes, and among several of these the
+ * one that changed longest ago. Considers one organisation, or all of them if
+ * it is null. */
+void EvictSuspect(gsQuarantine& table, std::uint32_t const* organisation)
 {
-  auto worst = table.Suspects.end();
-  std::size_t fewest = 0;
-  for (auto each = table.Suspects.begin(); each != table.Suspects.end();
-       ++each) {
-    gsSuspect const& suspect = each->second;
-    if (organisation != nullptr && suspect.Organisation != *organisation) {
+  auto candidate = table.Suspects.end();
+  std::size_t minCrashes = 0;
+  for (auto entry = table.Suspects.begin(); entry != table.Suspects.end();
+       ++entry) {
+    gsSuspectRequest const& suspect = entry->second;
+    if (organisation != nullptr && suspect.OrganisationHash != *organisation) {
       continue;
     }
     std::size_t crashes = gsCrashCount(suspect);
-    bool first = worst == table.Suspects.end();
-    if (first || crashes < fewest ||
-        (crashes == fewest && suspect.ChangedAt < worst->second.ChangedAt)) {
-      worst = each;
-      fewest = crashes;
+    bool isFirst = candidate == table.Suspects.end();
+    if (isFirst || crashes < minCrashes ||
+        (crashes == minCrashes &&
+         suspect.ChangedAt < candidate->second.ChangedAt)) {
+      candidate = entry;
+      minCrashes = crashes;
     }
   }
-  if (worst != table.Suspects.end()) {
-    Erase(table, worst);
+  if (candidate != table.Suspects.end()) {
+    EraseSuspect(table, candidate);
   }
 }
 
-gsSuspect& SuspectFor(gsQuarantine& table, gsCrashReport const& report)
+/** Finds the suspect of a report or adds it. At the bound of its organisation,
+ * another suspect of that organisation is evicted, and at the bound of the
+ * host one of any organisation. */
+gsSuspectRequest& FindOrAddSuspect(gsQuarantine& table,
+                                   gsCrashReport const& report)
 {
   auto found = table.Suspects.find(report.Fingerprint);
   if (found != table.Suspects.end()) {
     return found->second;
   }
-  if (table.OfOrganisation[report.Organisation] >=
-      table.Settings.OrganisationMost) {
-    EvictOne(table, &report.Organisation);
-  } else if (table.Suspects.size() >= table.Settings.SuspectsMost) {
-    EvictOne(table, nullptr);
+  if (table.SuspectsPerOrganisation[report.OrganisationHash] >=
+      table.Settings.MaxSuspectsPerOrganisation) {
+    EvictSuspect(table, &report.OrganisationHash);
+  } else if (table.Suspects.size() >= table.Settings.MaxSuspects) {
+    EvictSuspect(table, nullptr);
   }
-  ++table.OfOrganisation[report.Organisation];
-  gsSuspect& suspect = table.Suspects[report.Fingerprint];
-  suspect.Organisation = report.Organisation;
+  ++table.SuspectsPerOrganisation[report.OrganisationHash];
+  gsSuspectRequest& suspect = table.Suspects[report.Fingerprint];
+  suspect.OrganisationHash = report.OrganisationHash;
   return suspect;
 }
 
-/** Makes room for a piece of evidence; what says least goes first. */
-void DropLeastTelling(std::vector<gsCrashEvidence>& evidence)
+/** Removes the oldest piece of evidence with verdict Alive, because it does
+ * not affect the level of suspicion, or else the oldest piece of any verdict.
+ */
+void RemoveLeastRelevant(std::vector<gsCrashEvidence>& evidence)
 {
-  auto tellsLess = [](gsCrashEvidence const& a, gsCrashEvidence const& b) {
-    bool aLived = a.Verdict == gsCrashVerdict::Lived;
-    bool bLived = b.Verdict == gsCrashVerdict::Lived;
-    return aLived != bLived ? aLived : a.At < b.At;
+  auto isLessRelevant = [](gsCrashEvidence const& a,
+                           gsCrashEvidence const& b) {
+    bool isAliveA = a.Verdict == gsCrashVerdict::Alive;
+    bool isAliveB = b.Verdict == gsCrashVerdict::Alive;
+    return isAliveA != isAliveB ? isAliveA : a.ObservedAt < b.ObservedAt;
   };
   evidence.erase(
-    std::min_element(evidence.begin(), evidence.end(), tellsLess));
+    std::min_element(evidence.begin(), evidence.end(), isLessRelevant));
 }
 
 } // namespace
 
-char const* gsSuspicionWord(gsSuspicion suspicion)
+char const* gsSuspicionLevelName(gsSuspicionLevel suspicion)
 {
   switch (suspicion) {
-    case gsSuspicion::Suspected:
+    case gsSuspicionLevel::Suspected:
       return "suspected";
-    case gsSuspicion::Contained:
+    case gsSuspicionLevel::Contained:
       return "contained";
-    case gsSuspicion::Quarantined:
+    case gsSuspicionLevel::Quarantined:
       return "quarantined";
-    case gsSuspicion::None:
+    case gsSuspicionLevel::None:
       break;
   }
   return "none";
 }
 
-bool gsQuarantineTake(gsQuarantine& table, gsCrashReport const& report,
-                      gsTime now)
+bool gsQuarantineMergeReport(gsQuarantine& table, gsCrashReport const& report,
+                             gsTime now)
 {
-  gsTime memory = table.Settings.Time + table.Settings.Probation;
-  if (now - report.Evidence.At >= memory) {
+  gsTime retention =
+    table.Settings.Duration + table.Settings.ProbationDuration;
+  if (now - report.Evidence.ObservedAt >= retention) {
     return false;
   }
-  gsSuspect& suspect = SuspectFor(table, report);
-  auto piece =
-    std::find_if(suspect.Evidence.begin(), suspect.Evidence.end(),
-                 [&report](gsCrashEvidence const& known) {
-                   return known.Upstream == report.Evidence.Upstream;
-                 });
+  gsSuspectRequest& suspect = FindOrAddSuspect(table, report);
+  auto piece = std::find_if(suspect.Evidence.begin(), suspect.Evidence.end(),
+                            [&report](gsCrashEvidence const& existing) {
+                              return existing.UpstreamHash ==
+                                     report.Evidence.UpstreamHash;
+                            });
   if (piece != suspect.Evidence.end()) {
     if (piece->Verdict >= report.Evidence.Verdict) {
       return false;
     }
     piece->Verdict = report.Evidence.Verdict;
   } else {
-    if (suspect.Evidence.size() >= table.Settings.EvidenceMost) {
-      DropLeastTelling(suspect.Evidence);
+    if (suspect.Evidence.size() >= table.Settings.MaxEvidencePerSuspect) {
+      RemoveLeastRelevant(suspect.Evidence);
     }
     suspect.Evidence.push_back(report.Evidence);
   }
@@ -157,27 +172,28 @@
   return true;
 }
 
-bool gsQuarantineConcerns(gsQuarantine const& table,
-                          std::uint32_t organisation)
+bool gsQuarantineHasSuspects(gsQuarantine const& table,
+                             std::uint32_t organisation)
 {
-  return table.OfOrganisation.count(organisation) != 0;
+  return table.SuspectsPerOrganisation.count(organisation) != 0;
 }
 
-gsSuspicion gsSuspicionOf(gsQuarantine const& table,
-                          gsFingerprint const& print, gsTime now)
+gsSuspicionLevel gsSuspicionLevelOf(gsQuarantine const& table,
+                                    gsFingerprint const& fingerprint,
+                                    gsTime now)
 {
-  auto found = table.Suspects.find(print);
+  auto found = table.Suspects.find(fingerprint);
   return found == table.Suspects.end()
-           ? gsSuspicion::None
-           : SuspicionOf(table.Settings, found->second, now);
+           ? gsSuspicionLevel::None
+           : ComputeSuspicion(table.Settings, found->second, now);
 }
 
-std::size_t gsCrashCount(gsSuspect const& suspect)
+std::size_t gsCrashCount(gsSuspectRequest const& suspect)
 {
-  return Count(suspect, gsCrashVerdict::Crashed);
+  return CountVerdicts(suspect, gsCrashVerdict::Crashed);
 }
 
-std::size_t gsCrashesInSequence(gsSuspect const& suspect)
+std::size_t gsSequentialCrashCount(gsSuspectRequest const& suspect)
 {
   std::vector<gsCrashEvidence> crashes;
   std::copy_if(suspect.Evidence.begin(), suspect.Evidence.end(),
@@ -186,84 +202,93 @@
                });
   std::sort(crashes.begin(), crashes.end(),
             [](gsCrashEvidence const& a, gsCrashEvidence const& b) {
-              return a.At < b.At;
+              return a.ObservedAt < b.ObservedAt;
             });
   std::size_t count = 0;
-  gsTime last = gsTime::min();
+  gsTime previousCrashAt = gsTime::min();
   for (gsCrashEvidence const& piece : crashes) {
-    // Hosts' words of the same moment differ by what they were under way.
-    if (piece.At - piece.Ran / 2 >= last) {
+    // Times reported by other hosts are late by the message delay. A copy
+    // therefore counts as sent after the previous crash if that crash is not
+    // later than the middle of the copy's run time.
+    if (piece.ObservedAt - piece.RunTime / 2 >= previousCrashAt) {
       ++count;
-      last = piece.At;
+      previousCrashAt = piece.ObservedAt;
     }
   }
   return count;
 }
 
-gsTime gsQuarantineLeft(gsQuarantine const& table, gsFingerprint const& print,
-                        gsTime now)
+gsTime gsQuarantineTimeLeft(gsQuarantine const& table,
+                            gsFingerprint const& fingerprint, gsTime now)
 {
-  if (gsSuspicionOf(table, print, now) != gsSuspicion::Quarantined) {
+  if (gsSuspicionLevelOf(table, fingerprint, now) !=
+      gsSuspicionLevel::Quarantined) {
     return {};
   }
-  return LastCrash(table.Suspects.at(print)) + table.Settings.Time - now;
+  return LastCrashAt(table.Suspects.at(fingerprint)) +
+         table.Settings.Duration - now;
 }
 
 std::size_t gsQuarantinedCount(gsQuarantine const& table, gsTime now)
 {
   return static_cast<std::size_t>(std::count_if(
     table.Suspects.begin(), table.Suspects.end(), [&](auto const& suspect) {
-      return SuspicionOf(table.Settings, suspect.second, now) ==
-             gsSuspicion::Quarantined;
+      return ComputeSuspicion(table.Settings, suspect.second, now) ==
+             gsSuspicionLevel::Quarantined;
     }));
 }
 
-void gsQuarantineForget(gsQuarantine& table, gsTime now)
+void gsQuarantineRemoveExpired(gsQuarantine& table, gsTime now)
 {
-  gsTime memory = table.Settings.Time + table.Settings.Probation;
-  for (auto each = table.Suspects.begin(); each != table.Suspects.end();) {
-    auto next = std::next(each);
-    if (now - each->second.ChangedAt >= memory) {
-      Erase(table, each);
+  gsTime retention =
+    table.Settings.Duration + table.Settings.ProbationDuration;
+  for (auto entry = table.Suspects.begin(); entry != table.Suspects.end();) {
+    auto next = std::next(entry);
+    if (now - entry->second.ChangedAt >= retention) {
+      EraseSuspect(table, entry);
     }
-    each = next;
+    entry = next;
   }
 }
 
-std::vector<gsFingerprint> gsQuarantineShared(gsQuarantine const& table,
-                                              gsTime now)
+std::vector<gsFingerprint> gsQuarantineRequestsToExchange(
+  gsQuarantine const& table, gsTime now)
 {
-  gsTime memory = table.Settings.Time + table.Settings.Probation;
+  gsTime retention =
+    table.Settings.Duration + table.Settings.ProbationDuration;
   std::vector<gsFingerprint> shared;
-  for (auto const& [print, suspect] : table.Suspects) {
-    if (gsCrashCount(suspect) > 1 && now - LastCrash(suspect) < memory) {
-      shared.push_back(print);
+  for (auto const& [fingerprint, suspect] : table.Suspects) {
+    if (gsCrashCount(suspect) > 1 && now - LastCrashAt(suspect) < retention) {
+      shared.push_back(fingerprint);
     }
   }
   return shared;
 }
 
-std::vector<gsFingerprint> gsQuarantineListed(gsQuarantine const& table,
-                                              gsTime now)
+std::vector<gsFingerprint> gsQuarantineRestrictedRequests(
+  gsQuarantine const& table, gsTime now)
 {
-  std::vector<gsFingerprint> listed;
-  for (auto const& [print, suspect] : table.Suspects) {
-    if (SuspicionOf(table.Settings, suspect, now) >= gsSuspicion::Contained) {
-      listed.push_back(print);
+  std::vector<gsFingerprint> restricted;
+  for (auto const& [fingerprint, suspect] : table.Suspects) {
+    if (ComputeSuspicion(table.Settings, suspect, now) >=
+        gsSuspicionLevel::Contained) {
+      restricted.push_back(fingerprint);
     }
   }
-  return listed;
+  return restricted;
 }
 
 std::uint64_t gsQuarantineDigest(gsQuarantine const& table, gsTime now)
 {
   std::uint64_t digest = 0;
-  for (auto const& [print, suspect] : table.Suspects) {
-    gsSuspicion suspicion = SuspicionOf(table.Settings, suspect, now);
-    if (suspicion >= gsSuspicion::Contained) {
-      std::uint64_t const words[] = { print.High, print.Low,
-                                      static_cast<std::uint64_t>(suspicion) };
-      digest += XXH3_64bits(words, sizeof(words));
+  for (auto const& [fingerprint, suspect] : table.Suspects) {
+    gsSuspicionLevel suspicion =
+      ComputeSuspicion(table.Settings, suspect, now);
+    if (suspicion >= gsSuspicionLevel::Contained) {
+      std::uint64_t const hashInput[] = { fingerprint.High, fingerprint.Low,
+                                          static_cast<std::uint64_t>(
+                                            suspicion) };
+      digest += XXH3_64bits(hashInput, sizeof(hashInput));
     }
   }
   return digest;
--- a/Source/Coord/gsQuarantine.h
+++ b/Source/Coord/gsQuarantine.h
@@ -1,13 +1,20 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * Which requests are refused because upstreams crash under them. A request is
- * named by its fingerprint, so that it is known again when it is repeated.
- * What is known of it is a set of evidence, one piece for each upstream that
- * it ran on. Hosts exchange the sets and unite them: pieces may come in any
- * order and more than once, and all hosts end with the same set.
+ * Quarantine of requests that crash upstreams. A request is identified by its
+ * fingerprint, so that a repetition of it is recognised on any host. For each
+ * suspect request, a host holds a set of evidence with at most one piece for
+ * each upstream that executed it. Hosts exchange these sets and merge them.
+ * The merge is commutative and idempotent: pieces may arrive in any order and
+ * more than once, and all hosts converge on the same set while no bound is
+ * reached.
  *
- * Plain structs; time is handed in.
+ * The level of suspicion of a request follows from the number of crashes in
+ * its evidence, less CrashThreshold for each upstream that survived it.
+ * gsQuarantineSettings bounds the number of suspects on a host, of suspects of
+ * one organisation on a host, and of pieces of evidence for one suspect.
+ *
+ * The state is one plain struct. Callers pass in the current time.
  */
 #pragma once
 
@@ -19,118 +26,144 @@
 #include "gsFingerprint.h"
 #include "gsTypes.h"
 
-/** What became of one upstream that a request ran on. A higher verdict
- * replaces a lower one. */
+/** State of an upstream after it executed a suspect request. A higher verdict
+ * replaces a lower one. The values are exchanged between hosts. */
 enum class gsCrashVerdict : std::uint8_t
 {
-  Crashed = 1,  ///< Its connection broke, and nothing was heard of it since.
-  Lived = 2,    ///< The same, but it was heard again.
-  Survived = 3, ///< It answered the request whole, and was heard again.
+  /** The connection broke, and the upstream has sent nothing since. */
+  Crashed = 1,
+  /** The connection broke, but the upstream sent data afterwards. */
+  Alive = 2,
+  /** The upstream answered the request completely and sent data afterwards, or
+   * an operator has cleared the request. */
+  Survived = 3,
 };
 
-/** A piece of evidence. */
+/** A piece of evidence: how one upstream fared with a request. */
 struct gsCrashEvidence
 {
-  std::uint32_t Upstream = 0; ///< Hash of the incarnation.
+  std::uint32_t UpstreamHash = 0; ///< Hash of the upstream's incarnation.
   gsCrashVerdict Verdict = gsCrashVerdict::Crashed;
-  gsTime At{};  ///< When the connection broke, or the answer ended.
-  gsTime Ran{}; ///< From the sending until then.
+  /** When the connection broke or the answer ended. On other hosts it is late
+   * by the delay of the message. */
+  gsTime ObservedAt{};
+  gsTime RunTime{}; ///< From the sending of the request until ObservedAt.
 };
 
-/** A piece of evidence, and of what. */
+/** A piece of evidence with the request that it concerns. */
 struct gsCrashReport
 {
   gsFingerprint Fingerprint;
-  std::uint32_t Organisation = 0; ///< Hash of its name.
+  std::uint32_t OrganisationHash = 0; ///< Hash of the organisation's name.
   gsCrashEvidence Evidence;
 };
 
-/** What is known of one request. */
-struct gsSuspect
+/** A request for which there is evidence. */
+struct gsSuspectRequest
 {
-  std::uint32_t Organisation = 0;
-  /** One for each upstream. */
+  std::uint32_t OrganisationHash = 0; ///< Hash of the organisation's name.
+  /** At most one piece for each upstream and at most MaxEvidencePerSuspect
+   * pieces in all. */
   std::vector<gsCrashEvidence> Evidence;
-  gsTime ChangedAt{}; ///< By the clock of this host.
+  gsTime ChangedAt{}; ///< When Evidence last changed on this host.
 };
 
 struct gsQuarantineSettings
 {
-  /** Crashes one after the other from which on a request is refused; as many
-   * more for each upstream that survived it. */
-  std::size_t Crashes = 3;
-  /** A request is refused for so long after its last crash. */
-  gsTime Time = std::chrono::minutes(10);
-  /** For so long after that, one more crash has it refused again. */
-  gsTime Probation = std::chrono::minutes(10);
-  std::size_t SuspectsMost = 2048; ///< On one host; some 200 bytes each.
-  std::size_t OrganisationMost = 256;
-  std::size_t EvidenceMost = 12;
+  /** Number of crashes in sequence at which a request is quarantined. The
+   * threshold rises by the same number for each upstream that survived the
+   * request. */
+  std::size_t CrashThreshold = 3;
+  /** A request is quarantined for this time after its last crash. */
+  gsTime Duration = std::chrono::minutes(10);
+  /** Time after the quarantine during which one more crash starts it again. */
+  gsTime ProbationDuration = std::chrono::minutes(10);
+  std::size_t MaxSuspects = 2048; ///< Per host; about 200 bytes each.
+  std::size_t MaxSuspectsPerOrganisation = 256; ///< Per host and organisation.
+  std::size_t MaxEvidencePerSuspect = 12;       ///< In pieces.
 };
 
-/** Suspects of one host. */
+/** Suspect requests as recorded on one host. */
 struct gsQuarantine
 {
   gsQuarantineSettings Settings;
-  std::unordered_map<gsFingerprint, gsSuspect> Suspects;
-  /** How many each organisation has; none with zero. */
-  std::unordered_map<std::uint32_t, std::size_t> OfOrganisation;
+  std::unordered_map<gsFingerprint, gsSuspectRequest> Suspects;
+  /** Number of suspects by the hash of their organisation's name;
+   * organisations without suspects have no entry. */
+  std::unordered_map<std::uint32_t, std::size_t> SuspectsPerOrganisation;
 };
 
-/** How a host treats a request. */
-enum class gsSuspicion : std::uint8_t
+/** Level of suspicion of a request, which determines how a host handles it.
+ * The levels are ordered from the mildest to the strictest. Crashes are
+ * counted by gsSequentialCrashCount, less CrashThreshold for each upstream
+ * that survived the request. */
+enum class gsSuspicionLevel : std::uint8_t
 {
   None,
-  Suspected,   ///< Upstreams crashed once under it; others ran beside it.
-  Contained,   ///< Twice: one copy at a time, which is not repeated.
-  Quarantined, ///< It is refused.
+  /** One crash. Other requests that were in progress on the crashed upstream
+   * are at this level too. The request is handled normally. */
+  Suspected,
+  /** Two or more crashes: a host runs one copy of the request at a time, and
+   * does not retry an attempt that was sent. The level follows a quarantine as
+   * well, during ProbationDuration. */
+  Contained,
+  Quarantined, ///< The request is refused.
 };
 
-char const* gsSuspicionWord(gsSuspicion suspicion);
+/** Name of a level of suspicion for logs and error messages. */
+char const* gsSuspicionLevelName(gsSuspicionLevel suspicion);
 
-/** Takes evidence in. \return Whether it is new. */
-bool gsQuarantineTake(gsQuarantine& table, gsCrashReport const& report,
-                      gsTime now);
+/** Merges a piece of evidence. If a bound is reached, another suspect or piece
+ * of evidence is evicted. \return Whether the evidence was new and recent
+ * enough to be stored. */
+bool gsQuarantineMergeReport(gsQuarantine& table, gsCrashReport const& report,
+                             gsTime now);
 
-/** Whether any request of an organisation is suspected. */
-bool gsQuarantineConcerns(gsQuarantine const& table,
-                          std::uint32_t organisation);
+/** Whether there is evidence for any request of an organisation. */
+bool gsQuarantineHasSuspects(gsQuarantine const& table,
+                             std::uint32_t organisation);
 
-gsSuspicion gsSuspicionOf(gsQuarantine const& table,
-                          gsFingerprint const& print, gsTime now);
+/** Level of suspicion of a request. */
+gsSuspicionLevel gsSuspicionLevelOf(gsQuarantine const& table,
+                                    gsFingerprint const& fingerprint,
+                                    gsTime now);
 
-/** Upstreams that have crashed under a request. */
-std::size_t gsCrashCount(gsSuspect const& suspect);
+/** Number of upstreams that have crashed while executing a request. */
+std::size_t gsCrashCount(gsSuspectRequest const& suspect);
 
 /**
- * How many crashes followed each other, each under a copy that was sent after
- * the crash before. Upstreams that crash at the same time count once: whatever
- * ran on all of them, such as a request that many callers send alike, was
- * there by chance.
+ * Number of crashes of which each occurred while executing a copy that was
+ * sent after the previous crash. Upstreams that crash at the same time count
+ * once, because a request that all of them executed, such as one that many
+ * callers send in the same form, may have been in progress there by
+ * coincidence.
  */
-std::size_t gsCrashesInSequence(gsSuspect const& suspect);
+std::size_t gsSequentialCrashCount(gsSuspectRequest const& suspect);
 
-/** Until a quarantined request is let through again; else zero. */
-gsTime gsQuarantineLeft(gsQuarantine const& table, gsFingerprint const& print,
-                        gsTime now);
+/** Time until a quarantined request is accepted again; zero for any other
+ * request. */
+gsTime gsQuarantineTimeLeft(gsQuarantine const& table,
+                            gsFingerprint const& fingerprint, gsTime now);
 
-/** How many requests are quarantined. */
+/** Number of quarantined requests. */
 std::size_t gsQuarantinedCount(gsQuarantine const& table, gsTime now);
 
-/** Forgets what is over; to be run now and then. */
-void gsQuarantineForget(gsQuarantine& table, gsTime now);
+/** Removes suspects that have not changed for Duration and ProbationDuration
+ * combined. To be called periodically. */
+void gsQuarantineRemoveExpired(gsQuarantine& table, gsTime now);
 
-/** Requests under which two upstreams or more have crashed, however they are
- * treated now: what hosts need to know of each other. */
-std::vector<gsFingerprint> gsQuarantineShared(gsQuarantine const& table,
-                                              gsTime now);
+/** Requests to be sent to hosts whose digest differs: those that crashed two
+ * upstreams or more, the last one within Duration and ProbationDuration,
+ * whatever their level of suspicion is. */
+std::vector<gsFingerprint> gsQuarantineRequestsToExchange(
+  gsQuarantine const& table, gsTime now);
 
 /** Requests that are contained or quarantined. */
-std::vector<gsFingerprint> gsQuarantineListed(gsQuarantine const& table,
-                                              gsTime now);
+std::vector<gsFingerprint> gsQuarantineRestrictedRequests(
+  gsQuarantine const& table, gsTime now);
 
 /**
- * Names the requests that are contained or quarantined: equal on two hosts
- * that treat the same requests in the same way. Zero if there are none.
+ * Digest of the requests that are contained or quarantined and of their levels
+ * of suspicion; equal on hosts that agree on these. Zero if there are none.
  */
 std::uint64_t gsQuarantineDigest(gsQuarantine const& table, gsTime now);
