--- a/Source/Coord/gsRateLimit.cxx
+++ b/Source/Coord/gsRateLimit.cxx
@@ -13,14 +13,17 @@
 
 using Upstreams = std::unordered_map<std::uint32_t, gsLimitedUpstream>;
 
-/** Mean wait for the next token without competing demand, in intervals between
- * tokens. */
+/** Mean wait for the next token without competing demand, as a multiple of the
+ * interval between tokens. */
 constexpr double MeanIntervalsToNextToken = 0.5;
+/** Longer loan lifetimes of received shares are reduced to it. */
 constexpr gsTime MaxLoanLifetime = gsSeconds(30);
 /** Resolution of rates exchanged between hosts, in requests per second. */
 constexpr double RateStep = 1e-3;
 
-/** Clamps a rate to the permitted range, rounded down to whole steps. */
+/** Rounds a rate down to whole steps and clamps it to the permitted range. A
+ * rate that lies below a step by less than RateStep of a step, because of its
+ * binary representation, counts as that step. */
 double ClampRate(gsRateLimitSettings const& settings, double rate)
 {
   double steps = std::floor(rate / RateStep + RateStep);
@@ -31,27 +34,31 @@
 bool IsInactive(gsRateLimits const& limits, gsRateLimit const& limit,
                 gsTime now)
 {
-  return limit.Ended && now - limit.EndedAt >= limits.Settings.RecoveryTime;
+  return limit.HasEnded &&
+         now - limit.EndedAt >= limits.Settings.RecoveryDuration;
 }
 
-double RateOf(gsRateLimits const& limits, gsRateLimit const& limit, gsTime now)
+/** Rate in force: that of the limit, or after its end one that starts from at
+ * least 1 request per second and doubles per RecoveryDoublingInterval. */
+double CurrentRate(gsRateLimits const& limits, gsRateLimit const& limit,
+                   gsTime now)
 {
-  if (!limit.Ended) {
+  if (!limit.HasEnded) {
     return limit.Rate;
   }
   double doublings = gsToSeconds(now - limit.EndedAt) /
-                     gsToSeconds(limits.Settings.RecoveryDoubling);
+                     gsToSeconds(limits.Settings.RecoveryDoublingInterval);
   return std::max(1.0, limit.Rate) * std::exp2(std::max(0.0, doublings));
 }
 
-gsLimitedUpstream* Find(gsRateLimits& limits, std::uint32_t upstream)
+gsLimitedUpstream* FindUpstream(gsRateLimits& limits, std::uint32_t upstream)
 {
   auto found = limits.Upstreams.find(upstream);
   return found == limits.Upstreams.end() ? nullptr : &found->second;
 }
 
-gsLimitedUpstream const* Find(gsRateLimits const& limits,
-                              std::uint32_t upstream)
+gsLimitedUpstream const* FindUpstream(gsRateLimits const& limits,
+                                      std::uint32_t upstream)
 {
   auto found = limits.Upstreams.find(upstream);
   return found == limits.Upstreams.end() ? nullptr : &found->second;
@@ -59,15 +66,15 @@
 
 /** Finds an upstream whose limit is in force. */
 template<typename Limits>
-auto FindBinding(Limits& limits, std::uint32_t upstream, gsTime now)
-  -> decltype(Find(limits, upstream))
+auto FindInForce(Limits& limits, std::uint32_t upstream, gsTime now)
+  -> decltype(FindUpstream(limits, upstream))
 {
   if (limits.Upstreams.empty()) {
     return nullptr;
   }
-  auto* found = Find(limits, upstream);
-  bool binds = found != nullptr && !IsInactive(limits, found->Limit, now);
-  return binds ? found : nullptr;
+  auto* found = FindUpstream(limits, upstream);
+  bool inForce = found != nullptr && !IsInactive(limits, found->Limit, now);
+  return inForce ? found : nullptr;
 }
 
 bool IsRelay(gsRateLimits const& limits)
@@ -75,30 +82,35 @@
   return limits.Roles.Relay == limits.Roles.Self;
 }
 
-gsTime SharePeriod(gsRateLimits const& limits)
+/** Interval between share updates of this host. */
+gsTime ShareInterval(gsRateLimits const& limits)
 {
   auto hosts = static_cast<gsTime::rep>(limits.Roles.HallSize);
-  return std::max(limits.Settings.SharePeriod,
-                  limits.Settings.SharePeriodPerHost * hosts);
+  return std::max(limits.Settings.MinShareInterval,
+                  limits.Settings.ShareIntervalPerHost * hosts);
 }
 
 /** Time for which a received loan is counted; tolerates two lost updates. */
 gsTime LoanLifetime(gsRateLimits const& limits)
 {
-  return 3 * SharePeriod(limits);
+  return 3 * ShareInterval(limits);
 }
 
+/** Time for which an owner does not spend a share that it has lent: the loan
+ * is counted for LoanLifetime at each of two hops, which receive it late by
+ * their message delays. */
 gsTime LendDuration(gsRateLimits const& limits)
 {
-  return 2 * LoanLifetime(limits) + limits.Settings.FrameDelay;
+  return 2 * LoanLifetime(limits) + limits.Settings.MaxFrameDelay;
 }
 
+/** This host's equal share of a limit, in requests per second. */
 double OwnShare(gsRateLimits const& limits, gsRateLimit const& limit,
                 gsTime now)
 {
-  auto hosts =
-    static_cast<double>(std::max<std::size_t>(1, limits.Roles.HostsOfLate));
-  return RateOf(limits, limit, now) / hosts;
+  auto hosts = static_cast<double>(
+    std::max<std::size_t>(1, limits.Roles.RecentPeakHosts));
+  return CurrentRate(limits, limit, now) / hosts;
 }
 
 /** Combined share of this host and the hosts of its hall that lend to it. */
@@ -107,14 +119,15 @@
 {
   double rate = OwnShare(limits, upstream.Limit, now);
   for (auto const& [host, client] : upstream.Clients) {
-    bool counts = !client.IsOtherHallRelay && now < client.LentUntil;
-    rate += counts ? client.LentRate : 0;
+    bool isCounted = !client.IsOtherHallRelay && now < client.LentUntil;
+    rate += isCounted ? client.LentRate : 0;
   }
-  return std::min(rate, RateOf(limits, upstream.Limit, now));
+  return std::min(rate, CurrentRate(limits, upstream.Limit, now));
 }
 
 /** Distributor that this relay lends to; empty if this host is the distributor
- * or not a relay, or if the distributor is not heard. */
+ * or not a relay, or if the distributor's last announcement is older than
+ * RelayTimeout. */
 std::string DistributorOf(gsRateLimits const& limits, std::uint32_t upstream,
                           gsTime now)
 {
@@ -128,11 +141,12 @@
     return {};
   }
   std::string const& relay = limits.Roles.Relays.find(*hall)->second;
-  auto heard = limits.RelaysHeardAt.find(relay);
-  bool distributes = relay != limits.Roles.Self &&
-                     heard != limits.RelaysHeardAt.end() &&
-                     now - heard->second <= limits.Settings.RelayTimeout;
-  return distributes ? relay : std::string();
+  auto announcement = limits.RelayAnnouncedAt.find(relay);
+  bool isReachable =
+    relay != limits.Roles.Self &&
+    announcement != limits.RelayAnnouncedAt.end() &&
+    now - announcement->second <= limits.Settings.RelayTimeout;
+  return isReachable ? relay : std::string();
 }
 
 /** Host that issues tokens to this host; empty if there is none. */
@@ -142,14 +156,15 @@
   if (IsRelay(limits)) {
     return DistributorOf(limits, upstream, now);
   }
-  auto heard = limits.RelaysHeardAt.find(limits.Roles.Relay);
-  bool issues = heard != limits.RelaysHeardAt.end() &&
-                now - heard->second <= limits.Settings.RelayTimeout;
-  return issues ? limits.Roles.Relay : std::string();
+  auto announcement = limits.RelayAnnouncedAt.find(limits.Roles.Relay);
+  bool isIssuing = announcement != limits.RelayAnnouncedAt.end() &&
+                   now - announcement->second <= limits.Settings.RelayTimeout;
+  return isIssuing ? limits.Roles.Relay : std::string();
 }
 
 /** Whether the issuer counts this host's share. A relay always counts the
- * shares of its hall; a distributor confirms acceptance. */
+ * shares of its hall; a distributor confirms acceptance, which is valid for
+ * three update intervals. */
 bool IsShareAccepted(gsRateLimits const& limits,
                      gsLimitedUpstream const& upstream,
                      std::string const& issuer, gsTime now)
@@ -157,11 +172,12 @@
   if (issuer.empty() || !IsRelay(limits)) {
     return !issuer.empty();
   }
-  return upstream.AcceptedBy == issuer &&
-         now - upstream.AcceptedAt <= 3 * SharePeriod(limits);
+  return upstream.AcceptingIssuer == issuer &&
+         now - upstream.ShareAcceptedAt <= 3 * ShareInterval(limits);
 }
 
-/** Rate at which this host may issue or spend tokens now. */
+/** Rate at which this host may issue or spend tokens now; zero while its share
+ * is lent. */
 double SpendableRate(gsRateLimits const& limits,
                      gsLimitedUpstream const& upstream, gsTime now)
 {
@@ -173,60 +189,63 @@
   }
   double rate = HallShare(limits, upstream, now);
   for (auto const& [host, client] : upstream.Clients) {
-    bool counts = client.IsOtherHallRelay && now < client.LentUntil;
-    rate += counts ? client.LentRate : 0;
+    bool isCounted = client.IsOtherHallRelay && now < client.LentUntil;
+    rate += isCounted ? client.LentRate : 0;
   }
-  return std::min(rate, RateOf(limits, upstream.Limit, now));
+  return std::min(rate, CurrentRate(limits, upstream.Limit, now));
 }
 
 /**
- * Updates the token bucket. A relay accumulates the tokens of BurstSpan, and
- * at least one. On a host that spends its own share, an unused token expires
- * after TokenLifetime; otherwise hundreds of hosts would each hold one.
+ * Adds the tokens that have accrued since the last update to the token bucket.
+ * A relay accumulates at most the tokens of BurstSpan, or one if these are
+ * fewer. On a host that spends its own share, an unused token expires after
+ * TokenLifetime; otherwise hundreds of hosts would each hold one.
  */
-void Accrue(gsRateLimits const& limits, gsLimitedUpstream& upstream,
-            gsTime now)
+void AccrueTokens(gsRateLimits const& limits, gsLimitedUpstream& upstream,
+                  gsTime now)
 {
   gsRateLimitSettings const& settings = limits.Settings;
   double rate = SpendableRate(limits, upstream, now);
-  double seconds = std::max(0.0, gsToSeconds(now - upstream.LevelAt));
-  upstream.LevelAt = now;
-  upstream.Level += rate * seconds;
+  double seconds = std::max(0.0, gsToSeconds(now - upstream.BucketLevelSetAt));
+  upstream.BucketLevelSetAt = now;
+  upstream.BucketLevel += rate * seconds;
   if (IsRelay(limits)) {
-    double most = std::max(1.0, rate * gsToSeconds(settings.BurstSpan));
-    upstream.Level = std::min(upstream.Level, most);
+    double capacity = std::max(1.0, rate * gsToSeconds(settings.BurstSpan));
+    upstream.BucketLevel = std::min(upstream.BucketLevel, capacity);
     return;
   }
-  double due = std::floor(upstream.Level);
-  if (due < 1) {
+  double wholeTokens = std::floor(upstream.BucketLevel);
+  if (wholeTokens < 1) {
     return;
   }
-  double life = gsToSeconds(settings.TokenLifetime);
-  double part = upstream.Level - due;
-  bool lapsed = part > rate * life;
-  double most = std::max(1.0, std::floor(rate * life));
-  upstream.Level = part + (lapsed ? 0 : std::min(due, most));
+  double lifetime = gsToSeconds(settings.TokenLifetime);
+  double fraction = upstream.BucketLevel - wholeTokens;
+  bool expired = fraction > rate * lifetime;
+  double maxTokens = std::max(1.0, std::floor(rate * lifetime));
+  upstream.BucketLevel =
+    fraction + (expired ? 0 : std::min(wholeTokens, maxTokens));
 }
 
-void DropExpired(gsLimitedUpstream& upstream, gsTime now)
+void RemoveExpiredTokens(gsLimitedUpstream& upstream, gsTime now)
 {
-  auto good =
+  auto firstValid =
     std::upper_bound(upstream.Tokens.begin(), upstream.Tokens.end(), now);
-  upstream.Lapsed +=
-    static_cast<std::uint64_t>(good - upstream.Tokens.begin());
-  upstream.Tokens.erase(upstream.Tokens.begin(), good);
+  upstream.TokensExpired +=
+    static_cast<std::uint64_t>(firstValid - upstream.Tokens.begin());
+  upstream.Tokens.erase(upstream.Tokens.begin(), firstValid);
 }
 
 std::size_t CountValidTokens(gsLimitedUpstream const& upstream, gsTime now)
 {
-  auto good =
+  auto firstValid =
     std::upper_bound(upstream.Tokens.begin(), upstream.Tokens.end(), now);
-  return static_cast<std::size_t>(upstream.Tokens.end() - good);
+  return static_cast<std::size_t>(upstream.Tokens.end() - firstValid);
 }
 
+/** Token demand of a client; zero once it has expired. */
 std::uint32_t TokensWantedBy(gsRateClient const& client, gsTime now)
 {
-  return now < client.WantedUntil ? client.Wanted : 0;
+  return now < client.DemandUntil ? client.TokensWanted : 0;
 }
 
 std::uint32_t TokensWantedBy(gsLimitedUpstream const& upstream,
@@ -241,36 +260,36 @@
 std::uint32_t TotalTokensWanted(gsLimitedUpstream const& upstream,
                                 bool otherHalls, gsTime now)
 {
-  std::uint32_t wants = 0;
+  std::uint32_t demand = 0;
   for (auto const& [host, client] : upstream.Clients) {
-    bool counts = otherHalls || !client.IsOtherHallRelay;
-    wants += counts ? TokensWantedBy(client, now) : 0;
+    bool isCounted = otherHalls || !client.IsOtherHallRelay;
+    demand += isCounted ? TokensWantedBy(client, now) : 0;
   }
-  return wants;
+  return demand;
 }
 
-/** Selects the longest-waiting client and decrements its demand; empty if
- * there is no demand. */
+/** Selects the longest-waiting client and decrements its demand.
+ * \return The client's host name; empty if there is no demand. */
 std::optional<std::string> SelectNextClient(gsLimitedUpstream& upstream,
                                             bool otherHalls, gsTime now)
 {
-  std::optional<std::string> first;
-  gsRateClient* chosen = nullptr;
+  std::optional<std::string> selectedHost;
+  gsRateClient* selected = nullptr;
   for (auto& [host, client] : upstream.Clients) {
-    bool counts = (otherHalls || !client.IsOtherHallRelay) &&
-                  TokensWantedBy(client, now) > 0;
-    bool earlier =
-      chosen == nullptr || client.WantedSince < chosen->WantedSince;
-    if (counts && earlier) {
-      first = host;
-      chosen = &client;
+    bool isEligible = (otherHalls || !client.IsOtherHallRelay) &&
+                      TokensWantedBy(client, now) > 0;
+    bool waitsLonger =
+      selected == nullptr || client.WaitingSince < selected->WaitingSince;
+    if (isEligible && waitsLonger) {
+      selectedHost = host;
+      selected = &client;
     }
   }
-  if (chosen != nullptr) {
-    --chosen->Wanted;
-    chosen->WantedSince = now;
+  if (selected != nullptr) {
+    --selected->TokensWanted;
+    selected->WaitingSince = now;
   }
-  return first;
+  return selectedHost;
 }
 
 /** Adds a token for this host's own requests. */
@@ -281,18 +300,21 @@
   upstream.Tokens.insert(at, until);
 }
 
-gsTime TimeForTokens(double wants, double rate)
+/** Time in which a number of tokens accrue; at most an hour. */
+gsTime TimeForTokens(double tokenCount, double rate)
 {
-  constexpr double longest = 3600;
-  return gsFromSeconds(rate > 0 ? std::min(longest, wants / rate) : longest);
+  constexpr double maxSeconds = 3600;
+  return gsFromSeconds(rate > 0 ? std::min(maxSeconds, tokenCount / rate)
+                                : maxSeconds);
 }
 
-/** Collects replies to token requests for one upstream. */
+/** Collects replies to token requests for one upstream, at most one for each
+ * client. */
 class TokenReplies
 {
 public:
   explicit TokenReplies(std::uint32_t upstream)
-    : Upstream(upstream)
+    : UpstreamHash(upstream)
   {
   }
 
@@ -301,54 +323,58 @@
   {
     for (auto& [host, client] : upstream.Clients) {
       if (std::exchange(client.ReplyPending, false)) {
-        this->To[host].Upstream = this->Upstream;
+        this->Replies[host].UpstreamHash = this->UpstreamHash;
       }
     }
   }
 
-  void AddToken(std::string const& host, gsTime life)
+  /** Adds a token to the reply to a host. */
+  void AddToken(std::string const& host, gsTime lifetime)
   {
-    gsRateTokens& tokens = this->To[host];
-    tokens.Upstream = this->Upstream;
-    tokens.Lifetime = life;
+    gsRateTokens& tokens = this->Replies[host];
+    tokens.UpstreamHash = this->UpstreamHash;
+    tokens.Lifetime = lifetime;
     ++tokens.Count;
   }
 
-  /** \param first Expected time until the next token without demand at this
+  /** Appends the replies as messages.
+   * \param firstWait Expected time until the next token without demand at this
    *   host.
    * \param rate Rate at which tokens are issued. */
   void AppendTo(std::vector<gsRateMessage>& messages,
-                gsLimitedUpstream const& upstream, gsTime first, double rate,
-                gsTime now)
+                gsLimitedUpstream const& upstream, gsTime firstWait,
+                double rate, gsTime now)
   {
-    std::uint32_t all = TotalTokensWanted(upstream, true, now);
-    for (auto& [host, tokens] : this->To) {
-      tokens.Wait =
-        first + TimeForTokens(all - TokensWantedBy(upstream, host, now), rate);
+    std::uint32_t totalDemand = TotalTokensWanted(upstream, true, now);
+    for (auto& [host, tokens] : this->Replies) {
+      tokens.ExpectedWait =
+        firstWait +
+        TimeForTokens(totalDemand - TokensWantedBy(upstream, host, now), rate);
       messages.push_back({ host, std::nullopt, tokens });
     }
   }
 
 private:
-  std::uint32_t Upstream;
-  std::map<std::string, gsRateTokens> To;
+  std::uint32_t UpstreamHash;
+  std::map<std::string, gsRateTokens> Replies; ///< By receiving host.
 };
 
 /** Issues a token to the next client. \return False if there is no demand. */
 bool IssueNextToken(gsRateLimits& limits, std::uint32_t hash,
-                    gsLimitedUpstream& upstream, bool otherHalls, gsTime life,
-                    TokenReplies& replies, gsTime now)
+                    gsLimitedUpstream& upstream, bool otherHalls,
+                    gsTime lifetime, TokenReplies& replies, gsTime now)
 {
-  std::optional<std::string> to = SelectNextClient(upstream, otherHalls, now);
-  if (!to) {
+  std::optional<std::string> receiver =
+    SelectNextClient(upstream, otherHalls, now);
+  if (!receiver) {
     return false;
   }
-  if (*to == limits.Roles.Self) {
-    StoreToken(upstream, now + life);
+  if (*receiver == limits.Roles.Self) {
+    StoreToken(upstream, now + lifetime);
     limits.GrantedUpstreams.push_back(hash);
   } else {
-    ++upstream.Issued;
-    replies.AddToken(*to, life);
+    ++upstream.TokensIssued;
+    replies.AddToken(*receiver, lifetime);
   }
   return true;
 }
@@ -358,52 +384,55 @@
                     gsLimitedUpstream& upstream, TokenReplies& replies,
                     gsTime now)
 {
-  Accrue(limits, upstream, now);
-  while (upstream.Level >= 1 &&
+  AccrueTokens(limits, upstream, now);
+  while (upstream.BucketLevel >= 1 &&
          IssueNextToken(limits, hash, upstream, IsRelay(limits),
                         limits.Settings.TokenLifetime, replies, now)) {
-    upstream.Level -= 1;
+    upstream.BucketLevel -= 1;
   }
   double rate = SpendableRate(limits, upstream, now);
-  std::uint32_t others = TotalTokensWanted(upstream, true, now) -
-                         TokensWantedBy(upstream, limits.Roles.Self, now);
+  std::uint32_t otherDemand = TotalTokensWanted(upstream, true, now) -
+                              TokensWantedBy(upstream, limits.Roles.Self, now);
   upstream.ExpectedWait =
-    TimeForTokens(MeanIntervalsToNextToken + others, rate);
-  upstream.ExpectedAt = now;
+    TimeForTokens(MeanIntervalsToNextToken + otherDemand, rate);
+  upstream.ExpectedWaitSetAt = now;
 }
 
-/** Whether a share update is due: the period has elapsed, demand has changed,
- * or requested tokens did not arrive in time. */
+/** Whether a share update is due: the interval has elapsed, demand has
+ * changed, or requested tokens did not arrive in time. */
 bool IsShareDue(gsRateLimits const& limits, gsLimitedUpstream const& upstream,
-                std::uint32_t wants, gsTime now)
+                std::uint32_t demand, gsTime now)
 {
-  gsTime since = now - upstream.ShareSentAt;
-  bool other = wants != upstream.TokensRequested &&
-               since >= limits.Settings.MinTokenRequestInterval;
-  bool again = wants > 0 && since >= limits.Settings.TokenRequestTimeout;
-  return other || again || since >= SharePeriod(limits);
+  gsTime elapsed = now - upstream.ShareSentAt;
+  bool demandChanged = demand != upstream.TokensRequested &&
+                       elapsed >= limits.Settings.MinTokenRequestInterval;
+  bool retryDue = demand > 0 && elapsed >= limits.Settings.TokenRequestTimeout;
+  return demandChanged || retryDue || elapsed >= ShareInterval(limits);
 }
 
+/** Requests tokens of the issuer and lends it this host's share, if an update
+ * is due. A relay lends only once the distributor has accepted its share; its
+ * first updates lend nothing. */
 void SendShare(gsRateLimits const& limits, std::uint32_t hash,
                gsLimitedUpstream& upstream, std::string const& issuer,
                std::vector<gsRateMessage>& messages, gsTime now)
 {
-  std::uint32_t wants = TotalTokensWanted(upstream, false, now);
-  if (!IsShareDue(limits, upstream, wants, now)) {
+  std::uint32_t demand = TotalTokensWanted(upstream, false, now);
+  if (!IsShareDue(limits, upstream, demand, now)) {
     return;
   }
   gsRateShare share;
-  share.Upstream = hash;
-  share.Wanted = wants;
+  share.UpstreamHash = hash;
+  share.TokensWanted = demand;
   share.LoanLifetime = LoanLifetime(limits);
   if (IsShareAccepted(limits, upstream, issuer, now)) {
     share.LentRate = IsRelay(limits) ? HallShare(limits, upstream, now)
                                      : OwnShare(limits, upstream.Limit, now);
-    Accrue(limits, upstream, now);
+    AccrueTokens(limits, upstream, now);
     upstream.LentUntil = now + LendDuration(limits);
   }
   upstream.ShareSentAt = now;
-  upstream.TokensRequested = wants;
+  upstream.TokensRequested = demand;
   messages.push_back({ issuer, share, std::nullopt });
 }
 
@@ -411,89 +440,92 @@
 {
   for (auto entry = upstream.Clients.begin();
        entry != upstream.Clients.end();) {
-    bool over = now >= entry->second.LentUntil &&
-                TokensWantedBy(entry->second, now) == 0;
-    entry = over ? upstream.Clients.erase(entry) : std::next(entry);
+    bool isExpired = now >= entry->second.LentUntil &&
+                     TokensWantedBy(entry->second, now) == 0;
+    entry = isExpired ? upstream.Clients.erase(entry) : std::next(entry);
   }
 }
 
 /** Adds an upstream, evicting the oldest limit if the table is full. The
  * initial level differs between hosts, to stagger the first tokens of hosts
- * that learn a limit at the same time. */
-gsLimitedUpstream& Add(gsRateLimits& limits, std::uint32_t upstream,
-                       gsTime now)
-{
-  Upstreams& all = limits.Upstreams;
-  if (all.size() >= limits.Settings.MaxUpstreams) {
-    all.erase(std::min_element(
-      all.begin(), all.end(), [](auto const& a, auto const& b) {
-        return a.second.Limit.LearnedAt < b.second.Limit.LearnedAt;
+ * that receive a limit at the same time. */
+gsLimitedUpstream& AddUpstream(gsRateLimits& limits, std::uint32_t upstream,
+                               gsTime now)
+{
+  Upstreams& upstreams = limits.Upstreams;
+  if (upstreams.size() >= limits.Settings.MaxUpstreams) {
+    upstreams.erase(std::min_element(
+      upstreams.begin(), upstreams.end(), [](auto const& a, auto const& b) {
+        return a.second.Limit.AppliedAt < b.second.Limit.AppliedAt;
       }));
   }
-  gsLimitedUpstream& added = all[upstream];
-  added.Level = gsRendezvousDraw(limits.Roles.Self, upstream);
-  added.LevelAt = now;
+  gsLimitedUpstream& added = upstreams[upstream];
+  added.BucketLevel = gsRendezvousFraction(limits.Roles.Self, upstream);
+  added.BucketLevelSetAt = now;
   return added;
 }
 
-/** Applies a version, after accruing tokens at the previous rate. */
-void Adopt(gsRateLimits& limits, std::uint32_t upstream,
-           gsRateLimit const& limit, gsTime now)
+/** Applies a version of a limit, after accruing tokens at the previous rate.
+ */
+void ApplyVersion(gsRateLimits& limits, std::uint32_t upstream,
+                  gsRateLimit const& limit, gsTime now)
 {
-  gsLimitedUpstream* known = Find(limits, upstream);
-  if (known == nullptr) {
-    known = &Add(limits, upstream, now);
+  gsLimitedUpstream* entry = FindUpstream(limits, upstream);
+  if (entry == nullptr) {
+    entry = &AddUpstream(limits, upstream, now);
   } else {
-    Accrue(limits, *known, now);
+    AccrueTokens(limits, *entry, now);
   }
-  known->Limit = limit;
+  entry->Limit = limit;
 }
 
-/** Tie-break between different limits with the same version. */
+/** Whether limit a takes precedence over a different limit b with the same
+ * version. */
 bool IsStricter(gsRateLimit const& a, gsRateLimit const& b)
 {
-  if (a.Ended != b.Ended) {
-    return !a.Ended;
+  if (a.HasEnded != b.HasEnded) {
+    return !a.HasEnded;
   }
   return a.Rate < b.Rate;
 }
 
 } // namespace
 
-std::string gsRateText(double perSecond)
+std::string gsFormatRate(double perSecond)
 {
   char text[32];
   std::snprintf(text, sizeof(text), "%g", perSecond);
   return text;
 }
 
-bool gsNoteRateLimit(gsRateLimits& limits, std::uint32_t upstream,
-                     std::optional<double> rate, gsTime sentAt, gsTime now)
+bool gsApplyObservedRateLimit(gsRateLimits& limits, std::uint32_t upstream,
+                              std::optional<double> rate, gsTime sentAt,
+                              gsTime now)
 {
-  gsLimitedUpstream const* known = Find(limits, upstream);
-  if (!rate && (known == nullptr || known->Limit.Ended)) {
+  gsLimitedUpstream const* entry = FindUpstream(limits, upstream);
+  if (!rate && (entry == nullptr || entry->Limit.HasEnded)) {
     return false;
   }
   gsRateLimit next;
-  next.LearnedAt = now;
+  next.AppliedAt = now;
   next.Version = 1;
   next.Rate = ClampRate(limits.Settings, rate.value_or(0));
-  if (known != nullptr) {
-    gsRateLimit const& before = known->Limit;
-    next.Version = before.Version + 1;
-    bool isNewer = sentAt > before.LearnedAt;
-    bool lower = rate && (before.Ended || next.Rate < before.Rate);
-    bool same = rate && !before.Ended && next.Rate == before.Rate;
-    if (same || (!isNewer && !lower)) {
+  if (entry != nullptr) {
+    gsRateLimit const& current = entry->Limit;
+    next.Version = current.Version + 1;
+    bool isNewer = sentAt > current.AppliedAt;
+    bool isLower = rate && (current.HasEnded || next.Rate < current.Rate);
+    bool isSame = rate && !current.HasEnded && next.Rate == current.Rate;
+    if (isSame || (!isNewer && !isLower)) {
       return false;
     }
     if (!rate) {
-      next.Rate = before.Rate;
-      next.Ended = true;
+      next.Rate = current.Rate;
+      next.HasEnded = true;
       next.EndedAt = now;
     }
   }
-  Adopt(limits, upstream, next, now);
+  ApplyVersion(limits, upstream, next, now);
   limits.UnsentUpstreams.push_back(upstream);
   return true;
 }
@@ -503,50 +535,53 @@
 {
   gsRateLimit next;
   next.Rate = ClampRate(limits.Settings, notice.Rate);
-  next.Ended = notice.Ended;
-  next.EndedAt = now - notice.EndedFor;
+  next.HasEnded = notice.HasEnded;
+  next.EndedAt = now - notice.TimeSinceEnd;
   next.Version = notice.Version;
-  next.LearnedAt = now;
-  gsLimitedUpstream const* known = Find(limits, notice.Upstream);
-  if (known == nullptr && IsInactive(limits, next, now)) {
+  next.AppliedAt = now;
+  gsLimitedUpstream const* entry = FindUpstream(limits, notice.UpstreamHash);
+  if (entry == nullptr && IsInactive(limits, next, now)) {
     return false;
   }
-  if (known != nullptr) {
-    // Other hosts may have removed an ended limit and restarted its versions.
-    bool over = IsInactive(limits, known->Limit, now);
-    bool newer = over ? !next.Ended : next.Version > known->Limit.Version;
-    bool equal = !over && next.Version == known->Limit.Version;
-    if (!newer && !(equal && IsStricter(next, known->Limit))) {
+  if (entry != nullptr) {
+    // Other hosts may have removed an ended limit and restarted its versions
+    // at 1, so that any limit that has not ended supersedes it.
+    bool isCurrentInactive = IsInactive(limits, entry->Limit, now);
+    bool supersedes =
+      isCurrentInactive ? !next.HasEnded : next.Version > entry->Limit.Version;
+    bool isSameVersion =
+      !isCurrentInactive && next.Version == entry->Limit.Version;
+    if (!supersedes && !(isSameVersion && IsStricter(next, entry->Limit))) {
       return false;
     }
   }
-  Adopt(limits, notice.Upstream, next, now);
-  limits.UnsentUpstreams.push_back(notice.Upstream);
+  ApplyVersion(limits, notice.UpstreamHash, next, now);
+  limits.UnsentUpstreams.push_back(notice.UpstreamHash);
   return true;
 }
 
-gsRateLimitNotice gsRateLimitNoticeOf(gsRateLimits const& limits,
-                                      std::uint32_t upstream, gsTime now)
+gsRateLimitNotice gsMakeRateLimitNotice(gsRateLimits const& limits,
+                                        std::uint32_t upstream, gsTime now)
 {
   gsRateLimitNotice notice;
-  notice.Upstream = upstream;
-  if (gsLimitedUpstream const* known = Find(limits, upstream)) {
-    notice.Rate = known->Limit.Rate;
-    notice.Ended = known->Limit.Ended;
-    notice.EndedFor =
-      known->Limit.Ended ? now - known->Limit.EndedAt : gsTime{};
-    notice.Version = known->Limit.Version;
+  notice.UpstreamHash = upstream;
+  if (gsLimitedUpstream const* entry = FindUpstream(limits, upstream)) {
+    notice.Rate = entry->Limit.Rate;
+    notice.HasEnded = entry->Limit.HasEnded;
+    notice.TimeSinceEnd =
+      entry->Limit.HasEnded ? now - entry->Limit.EndedAt : gsTime{};
+    notice.Version = entry->Limit.Version;
   }
   return notice;
 }
 
-std::vector<gsRateLimitNotice> gsRateLimitNotices(gsRateLimits const& limits,
-                                                  gsTime now)
+std::vector<gsRateLimitNotice> gsMakeActiveRateLimitNotices(
+  gsRateLimits const& limits, gsTime now)
 {
   std::vector<gsRateLimitNotice> notices;
-  for (auto const& [upstream, known] : limits.Upstreams) {
-    if (!IsInactive(limits, known.Limit, now)) {
-      notices.push_back(gsRateLimitNoticeOf(limits, upstream, now));
+  for (auto const& [upstream, entry] : limits.Upstreams) {
+    if (!IsInactive(limits, entry.Limit, now)) {
+      notices.push_back(gsMakeRateLimitNotice(limits, upstream, now));
     }
   }
   return notices;
@@ -555,149 +590,155 @@
 std::uint64_t gsRateLimitDigest(gsRateLimits const& limits, gsTime now)
 {
   std::uint64_t digest = 0;
-  for (auto const& [upstream, known] : limits.Upstreams) {
-    if (IsInactive(limits, known.Limit, now)) {
+  for (auto const& [upstream, entry] : limits.Upstreams) {
+    if (IsInactive(limits, entry.Limit, now)) {
       continue;
     }
     auto steps =
-      static_cast<std::uint64_t>(std::llround(known.Limit.Rate / RateStep));
+      static_cast<std::uint64_t>(std::llround(entry.Limit.Rate / RateStep));
     std::string const text =
-      std::to_string(upstream) + ' ' + std::to_string(known.Limit.Version) +
-      ' ' + std::to_string(steps) + (known.Limit.Ended ? " ended" : "");
+      std::to_string(upstream) + ' ' + std::to_string(entry.Limit.Version) +
+      ' ' + std::to_string(steps) + (entry.Limit.HasEnded ? " ended" : "");
     digest ^= gsHashText(text);
   }
   return digest;
 }
 
-std::optional<double> gsRateInForce(gsRateLimits const& limits,
-                                    std::uint32_t upstream, gsTime now)
+std::optional<double> gsEffectiveRate(gsRateLimits const& limits,
+                                      std::uint32_t upstream, gsTime now)
 {
-  gsLimitedUpstream const* known = FindBinding(limits, upstream, now);
-  return known == nullptr
+  gsLimitedUpstream const* entry = FindInForce(limits, upstream, now);
+  return entry == nullptr
            ? std::nullopt
-           : std::optional<double>(RateOf(limits, known->Limit, now));
+           : std::optional<double>(CurrentRate(limits, entry->Limit, now));
 }
 
 bool gsHasToken(gsRateLimits const& limits, std::uint32_t upstream, gsTime now)
 {
-  gsLimitedUpstream const* known = FindBinding(limits, upstream, now);
-  return known == nullptr || CountValidTokens(*known, now) > known->Reserved;
+  gsLimitedUpstream const* entry = FindInForce(limits, upstream, now);
+  return entry == nullptr ||
+         CountValidTokens(*entry, now) > entry->ReservedTokens;
 }
 
 bool gsReserveToken(gsRateLimits& limits, std::uint32_t upstream, gsTime now)
 {
-  gsLimitedUpstream* known = FindBinding(limits, upstream, now);
-  if (known == nullptr) {
+  gsLimitedUpstream* entry = FindInForce(limits, upstream, now);
+  if (entry == nullptr) {
     return false;
   }
-  ++known->Reserved;
+  ++entry->ReservedTokens;
   return true;
 }
 
 void gsReleaseToken(gsRateLimits& limits, std::uint32_t upstream)
 {
-  if (gsLimitedUpstream* known = Find(limits, upstream)) {
-    known->Reserved -= std::min(known->Reserved, 1U);
+  if (gsLimitedUpstream* entry = FindUpstream(limits, upstream)) {
+    entry->ReservedTokens -= std::min(entry->ReservedTokens, 1U);
   }
 }
 
 bool gsSpendToken(gsRateLimits& limits, std::uint32_t upstream, gsTime now)
 {
-  gsLimitedUpstream* known = FindBinding(limits, upstream, now);
-  if (known == nullptr) {
+  gsLimitedUpstream* entry = FindInForce(limits, upstream, now);
+  if (entry == nullptr) {
     return true;
   }
-  DropExpired(*known, now);
-  if (known->Tokens.empty()) {
+  RemoveExpiredTokens(*entry, now);
+  if (entry->Tokens.empty()) {
     return false;
   }
-  known->Tokens.erase(known->Tokens.begin());
-  ++known->Used;
+  entry->Tokens.erase(entry->Tokens.begin());
+  ++entry->TokensSpent;
   return true;
 }
 
 bool gsRequestTokens(gsRateLimits& limits, std::uint32_t upstream,
                      std::uint32_t count, gsTime until, gsTime now)
 {
-  gsLimitedUpstream* known = FindBinding(limits, upstream, now);
-  if (known == nullptr) {
+  gsLimitedUpstream* entry = FindInForce(limits, upstream, now);
+  if (entry == nullptr) {
     return true;
   }
-  DropExpired(*known, now);
-  gsRateClient& own = known->Clients[limits.Roles.Self];
+  RemoveExpiredTokens(*entry, now);
+  gsRateClient& own = entry->Clients[limits.Roles.Self];
   if (TokensWantedBy(own, now) == 0) {
-    own.WantedSince = now;
-    own.WantedUntil = gsTime{};
+    own.WaitingSince = now;
+    own.DemandUntil = gsTime{};
   }
-  own.Wanted = count;
-  own.WantedUntil = std::max(own.WantedUntil, until);
-  return known->Tokens.size() > known->Reserved;
+  own.TokensWanted = count;
+  own.DemandUntil = std::max(own.DemandUntil, until);
+  return entry->Tokens.size() > entry->ReservedTokens;
 }
 
 gsTime gsExpectedTokenWait(gsRateLimits const& limits, std::uint32_t upstream,
                            std::size_t ahead, gsTime now)
 {
-  gsLimitedUpstream const* known = FindBinding(limits, upstream, now);
-  if (known == nullptr) {
+  gsLimitedUpstream const* entry = FindInForce(limits, upstream, now);
+  if (entry == nullptr) {
     return {};
   }
-  double rate = RateOf(limits, known->Limit, now);
-  bool fresh = now - known->ExpectedAt <= limits.Settings.DemandLifetime;
-  gsTime first = fresh ? known->ExpectedWait
+  double rate = CurrentRate(limits, entry->Limit, now);
+  bool isUpToDate =
+    now - entry->ExpectedWaitSetAt <= limits.Settings.DemandLifetime;
+  gsTime firstWait = isUpToDate
+                       ? entry->ExpectedWait
                        : TimeForTokens(MeanIntervalsToNextToken, rate);
-  return first + TimeForTokens(static_cast<double>(ahead), rate);
+  return firstWait + TimeForTokens(static_cast<double>(ahead), rate);
 }
 
 void gsApplyRateShare(gsRateLimits& limits, std::string const& host,
                       gsRateShare const& share, gsTime now)
 {
-  gsLimitedUpstream* known = FindBinding(limits, share.Upstream, now);
-  if (known == nullptr || !IsRelay(limits)) {
+  gsLimitedUpstream* entry = FindInForce(limits, share.UpstreamHash, now);
+  if (entry == nullptr || !IsRelay(limits)) {
     return;
   }
-  bool otherHall = false;
+  bool isOtherHallRelay = false;
   for (auto const& [hall, relay] : limits.Roles.Relays) {
-    otherHall = otherHall || (relay == host && relay != limits.Roles.Self);
+    isOtherHallRelay =
+      isOtherHallRelay || (relay == host && relay != limits.Roles.Self);
   }
-  if (otherHall && !IssuerFor(limits, share.Upstream, now).empty()) {
-    return; // This host is not the distributor; the sender's view differs.
+  if (isOtherHallRelay &&
+      !IssuerFor(limits, share.UpstreamHash, now).empty()) {
+    return; // The sender assumes another distributor than this host does.
   }
-  Accrue(limits, *known, now);
-  auto [found, isNew] = known->Clients.emplace(host, gsRateClient{});
+  AccrueTokens(limits, *entry, now);
+  auto [found, isNew] = entry->Clients.emplace(host, gsRateClient{});
   gsRateClient& client = found->second;
   if (isNew || TokensWantedBy(client, now) == 0) {
-    client.WantedSince = now;
+    client.WaitingSince = now;
   }
-  client.IsOtherHallRelay = otherHall;
-  client.ReplyPending = otherHall || share.Wanted > 0;
+  client.IsOtherHallRelay = isOtherHallRelay;
+  client.ReplyPending = isOtherHallRelay || share.TokensWanted > 0;
   client.LentRate = std::max(0.0, share.LentRate);
   client.LentUntil = now + std::min(share.LoanLifetime, MaxLoanLifetime);
-  client.Wanted = share.Wanted;
-  client.WantedUntil = now + limits.Settings.DemandLifetime;
+  client.TokensWanted = share.TokensWanted;
+  client.DemandUntil = now + limits.Settings.DemandLifetime;
 }
 
 void gsApplyRateTokens(gsRateLimits& limits, std::string const& host,
                        gsRateTokens const& tokens, gsTime now)
 {
-  gsLimitedUpstream* known = FindBinding(limits, tokens.Upstream, now);
-  if (known == nullptr || host != IssuerFor(limits, tokens.Upstream, now)) {
+  gsLimitedUpstream* entry = FindInForce(limits, tokens.UpstreamHash, now);
+  if (entry == nullptr ||
+      host != IssuerFor(limits, tokens.UpstreamHash, now)) {
     return;
   }
-  known->AcceptedBy = host;
-  known->AcceptedAt = now;
-  known->ExpectedWait = tokens.Wait;
-  known->ExpectedAt = now;
-  known->TokensRequested -= std::min(known->TokensRequested, tokens.Count);
-  gsTime life = std::min(tokens.Lifetime, limits.Settings.TokenLifetime);
-  TokenReplies replies(tokens.Upstream);
-  std::uint32_t left = tokens.Count;
-  while (left > 0 && IssueNextToken(limits, tokens.Upstream, *known, false,
-                                    life, replies, now)) {
-    --left;
+  entry->AcceptingIssuer = host;
+  entry->ShareAcceptedAt = now;
+  entry->ExpectedWait = tokens.ExpectedWait;
+  entry->ExpectedWaitSetAt = now;
+  entry->TokensRequested -= std::min(entry->TokensRequested, tokens.Count);
+  gsTime lifetime = std::min(tokens.Lifetime, limits.Settings.TokenLifetime);
+  TokenReplies replies(tokens.UpstreamHash);
+  std::uint32_t undelivered = tokens.Count;
+  while (undelivered > 0 && IssueNextToken(limits, tokens.UpstreamHash, *entry,
+                                           false, lifetime, replies, now)) {
+    --undelivered;
   }
-  known->Lapsed += left;
-  replies.AppendTo(limits.Outbox, *known, tokens.Wait,
-                   RateOf(limits, known->Limit, now), now);
+  entry->TokensExpired += undelivered;
+  replies.AppendTo(limits.Outbox, *entry, tokens.ExpectedWait,
+                   CurrentRate(limits, entry->Limit, now), now);
 }
 
 std::vector<gsRateMessage> gsRateLimitTick(gsRateLimits& limits, gsTime now)
@@ -707,7 +748,7 @@
     if (IsInactive(limits, upstream.Limit, now)) {
       continue;
     }
-    DropExpired(upstream, now);
+    RemoveExpiredTokens(upstream, now);
     RemoveExpiredClients(upstream, now);
     TokenReplies replies(hash);
     replies.AddPending(upstream);
@@ -718,66 +759,69 @@
     if (!IsShareAccepted(limits, upstream, issuer, now)) {
       IssueDueTokens(limits, hash, upstream, replies, now);
     }
-    double rate = RateOf(limits, upstream.Limit, now);
-    gsTime first = issuer.empty()
-                     ? TimeForTokens(MeanIntervalsToNextToken, rate)
-                     : upstream.ExpectedWait;
-    replies.AppendTo(messages, upstream, first, rate, now);
+    double rate = CurrentRate(limits, upstream.Limit, now);
+    gsTime firstWait = issuer.empty()
+                         ? TimeForTokens(MeanIntervalsToNextToken, rate)
+                         : upstream.ExpectedWait;
+    replies.AppendTo(messages, upstream, firstWait, rate, now);
   }
   return messages;
 }
 
-std::optional<gsTime> gsRateLimitDue(gsRateLimits const& limits, gsTime now)
+std::optional<gsTime> gsNextRateLimitTick(gsRateLimits const& limits,
+                                          gsTime now)
 {
   std::optional<gsTime> due;
-  auto note = [&due](gsTime at) { due = due ? std::min(*due, at) : at; };
+  auto schedule = [&due](gsTime at) { due = due ? std::min(*due, at) : at; };
   if (!limits.Outbox.empty()) {
-    note(now);
+    schedule(now);
   }
   for (auto const& [hash, upstream] : limits.Upstreams) {
-    bool asked =
+    bool replyPending =
       std::any_of(upstream.Clients.begin(), upstream.Clients.end(),
                   [](auto const& entry) { return entry.second.ReplyPending; });
-    if (asked) {
-      note(now);
+    if (replyPending) {
+      schedule(now);
     }
     if (IsInactive(limits, upstream.Limit, now)) {
       continue;
     }
     std::string const issuer = IssuerFor(limits, hash, now);
-    std::uint32_t wants = TotalTokensWanted(upstream, false, now);
-    bool other = wants != upstream.TokensRequested;
-    if (!issuer.empty() && (other || wants > 0)) {
-      note(upstream.ShareSentAt + (other
-                                     ? limits.Settings.MinTokenRequestInterval
-                                     : limits.Settings.TokenRequestTimeout));
+    std::uint32_t demand = TotalTokensWanted(upstream, false, now);
+    bool demandChanged = demand != upstream.TokensRequested;
+    if (!issuer.empty() && (demandChanged || demand > 0)) {
+      schedule(upstream.ShareSentAt +
+               (demandChanged ? limits.Settings.MinTokenRequestInterval
+                              : limits.Settings.TokenRequestTimeout));
     }
     if (TotalTokensWanted(upstream, true, now) == 0) {
       continue;
     }
     double rate = SpendableRate(limits, upstream, now);
     if (!IsShareAccepted(limits, upstream, issuer, now) && rate > 0) {
-      note(upstream.LevelAt + TimeForTokens(1 - upstream.Level, rate));
+      schedule(upstream.BucketLevelSetAt +
+               TimeForTokens(1 - upstream.BucketLevel, rate));
     }
   }
   return due;
 }
 
-void gsForgetRateLimits(
+void gsRemoveExpiredRateLimits(
   gsRateLimits& limits,
   std::function<bool(std::uint32_t upstream)> const& isListed, gsTime now)
 {
-  Upstreams& all = limits.Upstreams;
-  for (auto entry = all.begin(); entry != all.end();) {
+  Upstreams& upstreams = limits.Upstreams;
+  for (auto entry = upstreams.begin(); entry != upstreams.end();) {
     gsLimitedUpstream& upstream = entry->second;
     gsRateLimit const& limit = upstream.Limit;
     if (isListed(entry->first)) {
-      upstream.ListedAt = now;
+      upstream.LastListedAt = now;
     }
-    gsTime listed = std::max(upstream.ListedAt, limit.LearnedAt);
-    bool gone = now - listed >= limits.Settings.UnlistedRetention;
-    bool ended =
-      limit.Ended && now - limit.EndedAt >= limits.Settings.EndedRetention;
-    entry = gone || ended ? all.erase(entry) : std::next(entry);
+    gsTime lastListedAt = std::max(upstream.LastListedAt, limit.AppliedAt);
+    bool isUnlisted = now - lastListedAt >= limits.Settings.UnlistedRetention;
+    bool isRetentionOver =
+      limit.HasEnded && now - limit.EndedAt >= limits.Settings.EndedRetention;
+    entry = isUnlisted || isRetentionOver ? upstreams.erase(entry)
+                                          : std::next(entry);
   }
 }
--- a/Source/Coord/gsRateLimit.h
+++ b/Source/Coord/gsRateLimit.h
@@ -8,20 +8,20 @@
  * its hall, and the relay lends the hall's combined share to the relay of one
  * hall, chosen per upstream by rendezvous hashing. That relay, the
  * distributor, issues tokens on request at the combined rate of the shares
- * lent to it. A host that does not hear from its relay spends its own share;
- * a relay whose share no distributor has accepted issues tokens to its own
- * hall.
+ * lent to it. A host that receives no announcements from its relay spends its
+ * own share; a relay whose share no distributor has accepted issues tokens to
+ * its own hall.
  *
  * A share is counted in one place at a time: a loan is counted for
  * LoanLifetime at each of two hops, and its owner does not spend it for longer
  * than both combined. Hosts that disagree about the distributor therefore do
- * not exceed the limit. For a limit R, hosts that know it send in any W
- * seconds at most R * (W + TokenLifetime + BurstSpan) + 1 attempts with
- * tokens of distributors, plus one attempt per token accrued by each host that
- * spends its own share.
+ * not exceed the limit. For a limit R, hosts to which it has been replicated
+ * send in any W seconds at most R * (W + TokenLifetime + BurstSpan) + 1
+ * attempts with tokens of distributors, plus one attempt per token accrued by
+ * each host that spends its own share.
  *
- * The state is one plain struct. Callers pass in the current time and send the
- * returned messages.
+ * The state is one plain struct, which holds at most MaxUpstreams limits.
+ * Callers pass in the current time and send the returned messages.
  */
 #pragma once
 
@@ -41,167 +41,192 @@
 {
   double Rate = 0; ///< Requests per second, all hosts combined.
   /** The upstream no longer sets a limit; the rate ramps up from Rate. */
-  bool Ended = false;
-  gsTime EndedAt{};
+  bool HasEnded = false;
+  gsTime EndedAt{};          ///< Set only if HasEnded.
   std::uint64_t Version = 0; ///< Incremented on each change.
-  gsTime LearnedAt{};        ///< When this host learned this version.
+  gsTime AppliedAt{};        ///< When this host applied this version.
 };
 
-/** A limit as exchanged between hosts. */
+/** A limit as exchanged between hosts. Times are relative to the sending. */
 struct gsRateLimitNotice
 {
-  std::uint32_t Upstream = 0; ///< Hash of its incarnation.
-  double Rate = 0;
-  bool Ended = false;
-  gsTime EndedFor{}; ///< Time from its end until sending.
-  std::uint64_t Version = 0;
+  std::uint32_t UpstreamHash = 0; ///< Hash of the upstream's incarnation.
+  double Rate = 0;                ///< Requests per second, all hosts combined.
+  bool HasEnded = false;          ///< As in gsRateLimit.
+  gsTime TimeSinceEnd{};          ///< From the end of the limit until sending.
+  std::uint64_t Version = 0;      ///< As in gsRateLimit.
 };
 
 /** A share lent to a token issuer, and a request for tokens. */
 struct gsRateShare
 {
-  std::uint32_t Upstream = 0;
-  double LentRate = 0; ///< Requests per second that the receiver may issue.
-  gsTime LoanLifetime{};
-  std::uint32_t Wanted = 0; ///< Outstanding token demand of the sender.
+  std::uint32_t UpstreamHash = 0; ///< Hash of the upstream's incarnation.
+  double LentRate = 0;   ///< Requests per second that the receiver may issue.
+  gsTime LoanLifetime{}; ///< For how long the receiver may issue them.
+  std::uint32_t TokensWanted = 0; ///< Outstanding token demand of the sender.
 };
 
 /** Issued tokens; Count is zero if the message only accepts a share. */
 struct gsRateTokens
 {
-  std::uint32_t Upstream = 0;
-  std::uint32_t Count = 0;
-  gsTime Lifetime{}; ///< Validity of the tokens.
+  std::uint32_t UpstreamHash = 0; ///< Hash of the upstream's incarnation.
+  std::uint32_t Count = 0;        ///< Number of tokens.
+  gsTime Lifetime{};              ///< Validity of the tokens.
   /** Expected time until the next token, given the demand of other hosts. */
-  gsTime Wait{};
+  gsTime ExpectedWait{};
 };
 
-/** A message to another host. */
+/** A message to another host: either a share or tokens. */
 struct gsRateMessage
 {
-  std::string To;
+  std::string Receiver; ///< Name of the receiving host.
   std::optional<gsRateShare> Share;
   std::optional<gsRateTokens> Tokens;
 };
 
 struct gsRateLimitSettings
 {
+  /** Validity of a token; unused tokens expire after it. */
   gsTime TokenLifetime = gsMilliseconds(500);
   gsTime BurstSpan = gsMilliseconds(100); ///< Burst capacity of a relay.
-  /** Minimum interval between share updates. */
-  gsTime SharePeriod = gsMilliseconds(250);
-  /** Interval between share updates per host of the hall. */
-  gsTime SharePeriodPerHost = gsMilliseconds(10);
+  /** Minimum interval between share updates while the demand is unchanged. */
+  gsTime MinShareInterval = gsMilliseconds(250);
+  /** Minimum of that interval per host of the hall: the interval is at least
+   * this time multiplied by HallSize. */
+  gsTime ShareIntervalPerHost = gsMilliseconds(10);
+  /** Minimum interval between share updates when the demand changes. */
   gsTime MinTokenRequestInterval = gsMilliseconds(20);
   gsTime TokenRequestTimeout =
     gsMilliseconds(250); ///< After which tokens are requested again.
   gsTime DemandLifetime = gsSeconds(1); ///< Validity of a token request.
+  /** A relay is considered unavailable when its last announcement is older. */
   gsTime RelayTimeout = gsMilliseconds(1500);
-  gsTime FrameDelay = gsMilliseconds(400); ///< Upper bound for both hops.
-  gsTime RecoveryDoubling = gsMilliseconds(500);
-  gsTime RecoveryTime = gsSeconds(3); ///< After the end of a limit.
+  /** Upper bound for the combined message delay of both hops of a loan. */
+  gsTime MaxFrameDelay = gsMilliseconds(400);
+  /** Interval in which the rate doubles after the end of a limit. */
+  gsTime RecoveryDoublingInterval = gsMilliseconds(500);
+  /** Duration of the ramp-up after the end of a limit; afterwards attempts are
+   * unlimited. */
+  gsTime RecoveryDuration = gsSeconds(3);
+  /** From the end of a limit until its removal. */
   gsTime EndedRetention = gsSeconds(60);
   gsTime UnlistedRetention =
-    std::chrono::minutes(10); ///< For upstreams without a row.
-  std::size_t MaxUpstreams = 1024;
-  double MinRate = 0.2; ///< Rate of probes under a limit of zero.
-  double MaxRate = 1e6;
+    std::chrono::minutes(10);      ///< For limits of upstreams without a row.
+  std::size_t MaxUpstreams = 1024; ///< The oldest limit is evicted.
+  double MinRate = 0.2;            ///< Rate of probes under a limit of zero.
+  double MaxRate = 1e6;            ///< Higher limits are reduced to it.
 };
 
 /** A host that receives tokens, which may be this host. */
 struct gsRateClient
 {
-  bool IsOtherHallRelay = false;
-  bool ReplyPending = false;
-  double LentRate = 0;
-  gsTime LentUntil{};
-  std::uint32_t Wanted = 0;
-  gsTime WantedUntil{};
-  gsTime WantedSince{}; ///< The longest-waiting client is served first.
+  bool IsOtherHallRelay = false; ///< Served only by the distributor.
+  bool ReplyPending = false;     ///< A reply is sent even without a token.
+  double LentRate = 0; ///< Requests per second that it lends this host.
+  gsTime LentUntil{};  ///< The loan is counted until then.
+  std::uint32_t TokensWanted = 0; ///< Outstanding token demand.
+  gsTime DemandUntil{};           ///< The demand expires then.
+  /** When its demand began or it was last issued a token. The client with the
+   * earliest time is served first. */
+  gsTime WaitingSince{};
 };
 
 /** Local state of a rate-limited upstream. */
 struct gsLimitedUpstream
 {
   gsRateLimit Limit;
-  gsTime ListedAt{};          ///< When its row was last seen.
+  gsTime LastListedAt{};      ///< When the upstream last had a row.
   std::vector<gsTime> Tokens; ///< Expiry times, ascending.
-  std::uint32_t Reserved = 0; ///< By attempts not sent yet.
+  std::uint32_t ReservedTokens =
+    0; ///< Tokens reserved by attempts not sent yet.
   /** Expected time until the next token without demand of this host, as last
    * reported by the issuer. */
   gsTime ExpectedWait{};
-  gsTime ExpectedAt{}; ///< When ExpectedWait was updated.
+  gsTime ExpectedWaitSetAt{}; ///< When ExpectedWait was set.
   /** Token bucket level: tokens that this host may issue or spend. */
-  double Level = 0;
-  gsTime LevelAt{};
-  gsTime LentUntil{}; ///< Shares are lent out until then.
+  double BucketLevel = 0;
+  gsTime BucketLevelSetAt{}; ///< When BucketLevel was set; tokens accrue from
+                             ///< then on.
+  /** Shares are lent to an issuer until then, so that this host accrues no
+   * tokens of its own. */
+  gsTime LentUntil{};
+  /** Hosts that request tokens of or lend shares to this host, by name. An
+   * entry is removed when its loan and its demand have expired. */
   std::map<std::string, gsRateClient, std::less<>> Clients;
-  /** Distributor that last accepted this relay's share. */
-  std::string AcceptedBy;
-  gsTime AcceptedAt{};
-  gsTime ShareSentAt{};
+  /** Issuer that last sent tokens or accepted this host's share. A relay lends
+   * its share only if this is the current distributor. */
+  std::string AcceptingIssuer;
+  gsTime ShareAcceptedAt{}; ///< When it last did so.
+  gsTime ShareSentAt{};     ///< When the last share update was sent.
   std::uint32_t TokensRequested =
     0; ///< Token demand sent last, minus tokens received since.
-  std::uint64_t Used = 0;   ///< Tokens spent.
-  std::uint64_t Lapsed = 0; ///< Tokens that expired unused.
-  std::uint64_t Issued = 0; ///< Tokens issued to other hosts.
+  std::uint64_t TokensSpent = 0;   ///< Tokens spent.
+  std::uint64_t TokensExpired = 0; ///< Tokens that expired unused.
+  std::uint64_t TokensIssued = 0;  ///< Tokens issued to other hosts.
 };
 
 /** Token issuing roles, derived from membership. */
 struct gsRateRoles
 {
-  std::string Self;
+  std::string Self;  ///< Name of this host.
   std::string Relay; ///< Relay of this host's hall; empty if there is none.
   /** Relays by hall, including this host's; set only on relays. */
   std::map<std::string, std::string> Relays;
-  std::size_t HallSize = 1;
+  std::size_t HallSize = 1; ///< Hosts of this host's hall.
   /** Recent peak number of hosts, which own equal shares of each limit. */
-  std::size_t HostsOfLate = 1;
+  std::size_t RecentPeakHosts = 1;
 };
 
+/** Rate limits of all upstreams, and the tokens of this host. */
 struct gsRateLimits
 {
   gsRateLimitSettings Settings;
   gsRateRoles Roles;
+  /** Limited upstreams by the hash of their incarnation. */
   std::unordered_map<std::uint32_t, gsLimitedUpstream> Upstreams;
-  /** When relays last announced that they issue tokens. */
-  std::map<std::string, gsTime, std::less<>> RelaysHeardAt;
+  /** When each relay last announced that it issues tokens. */
+  std::map<std::string, gsTime, std::less<>> RelayAnnouncedAt;
   /** Upstreams whose changed limit has not been sent to other hosts yet. */
   std::vector<std::uint32_t> UnsentUpstreams;
-  /** Upstream of each token received and not delivered yet. */
+  /** Upstream of each token that has been added to gsLimitedUpstream::Tokens
+   * and not been reported to waiting requests yet. */
   std::vector<std::uint32_t> GrantedUpstreams;
   std::vector<gsRateMessage> Outbox; ///< Returned by the next gsRateLimitTick.
 };
 
-/** Formats a rate for logs. */
-std::string gsRateText(double perSecond);
+/** Formats a rate in requests per second for logs. */
+std::string gsFormatRate(double perSecond);
 
 /**
- * Applies the limit that an answer names, or its absence. The answer
- * supersedes the known version only if its attempt was sent after that version
- * was learned; a lower limit always applies. \return Whether the limit has
- * changed and has to be sent to other hosts.
+ * Applies the limit that an upstream's answer contains, or its absence. The
+ * answer supersedes the current version only if its attempt was sent after
+ * this host applied that version; a lower limit always applies. \return
+ * Whether the limit has changed and has to be sent to other hosts.
  */
-bool gsNoteRateLimit(gsRateLimits& limits, std::uint32_t upstream,
-                     std::optional<double> rate, gsTime sentAt, gsTime now);
+bool gsApplyObservedRateLimit(gsRateLimits& limits, std::uint32_t upstream,
+                              std::optional<double> rate, gsTime sentAt,
+                              gsTime now);
 
 /** Applies a limit received from another host. \return Whether the local limit
  * has changed. */
 bool gsApplyRateLimitNotice(gsRateLimits& limits,
                             gsRateLimitNotice const& notice, gsTime now);
 
-/** All limits in force, for a host that may lack some. */
-std::vector<gsRateLimitNotice> gsRateLimitNotices(gsRateLimits const& limits,
-                                                  gsTime now);
-gsRateLimitNotice gsRateLimitNoticeOf(gsRateLimits const& limits,
-                                      std::uint32_t upstream, gsTime now);
+/** Notices of all limits in force, for a host that may lack some. */
+std::vector<gsRateLimitNotice> gsMakeActiveRateLimitNotices(
+  gsRateLimits const& limits, gsTime now);
+
+/** Notice of the current version of an upstream's limit; its version is zero
+ * if there is none. */
+gsRateLimitNotice gsMakeRateLimitNotice(gsRateLimits const& limits,
+                                        std::uint32_t upstream, gsTime now);
 
 /** Digest of all limits in force; zero if there are none. */
 std::uint64_t gsRateLimitDigest(gsRateLimits const& limits, gsTime now);
 
 /** Requests per second in force; empty without a limit. */
-std::optional<double> gsRateInForce(gsRateLimits const& limits,
-                                    std::uint32_t upstream, gsTime now);
+std::optional<double> gsEffectiveRate(gsRateLimits const& limits,
+                                      std::uint32_t upstream, gsTime now);
 
 /** Whether an attempt may be placed: there is no limit, or an unreserved token
  * is available. */
@@ -211,6 +236,8 @@
 /** Reserves a token for an attempt that is not sent yet, if there is a limit.
  * \return Whether the caller has to call gsReleaseToken. */
 bool gsReserveToken(gsRateLimits& limits, std::uint32_t upstream, gsTime now);
+
+/** Cancels a reservation: the attempt has been sent or abandoned. */
 void gsReleaseToken(gsRateLimits& limits, std::uint32_t upstream);
 
 /** Consumes a token for an attempt that is sent now. \return False if there is
@@ -230,22 +257,27 @@
 gsTime gsExpectedTokenWait(gsRateLimits const& limits, std::uint32_t upstream,
                            std::size_t ahead, gsTime now);
 
-/** Applies a share lent by another host, and its token request. */
+/** Applies a share lent by another host, and its token request. Ignored on
+ * hosts that are not relays, and from another hall's relay while this host
+ * lends to a distributor itself. */
 void gsApplyRateShare(gsRateLimits& limits, std::string const& host,
                       gsRateShare const& share, gsTime now);
 
-/** Applies received tokens, or the acceptance of a share. */
+/** Applies received tokens, or the acceptance of a share. Tokens of a host
+ * that is not this host's issuer are ignored. */
 void gsApplyRateTokens(gsRateLimits& limits, std::string const& host,
                        gsRateTokens const& tokens, gsTime now);
 
-/** Issues due tokens. \return Messages to be sent. */
+/** Issues due tokens, and lends this host's share to its issuer when an update
+ * is due. \return Messages to be sent. */
 std::vector<gsRateMessage> gsRateLimitTick(gsRateLimits& limits, gsTime now);
 
 /** When gsRateLimitTick has work next; empty if it has none. */
-std::optional<gsTime> gsRateLimitDue(gsRateLimits const& limits, gsTime now);
+std::optional<gsTime> gsNextRateLimitTick(gsRateLimits const& limits,
+                                          gsTime now);
 
 /** Removes ended limits after EndedRetention, and limits of upstreams without
  * a row after UnlistedRetention. */
-void gsForgetRateLimits(
+void gsRemoveExpiredRateLimits(
   gsRateLimits& limits,
   std::function<bool(std::uint32_t upstream)> const& isListed, gsTime now);
--- a/Source/Coord/gsRecentPeak.cxx
+++ b/Source/Coord/gsRecentPeak.cxx
@@ -4,14 +4,14 @@
 #include <algorithm>
 #include <utility>
 
-std::size_t gsNotePeak(gsRecentPeak& peak, std::size_t value, gsTime now)
+std::size_t gsUpdatePeak(gsRecentPeak& peak, std::size_t value, gsTime now)
 {
-  if (now - peak.Since >= peak.Memory) {
-    bool old = now - peak.Since >= 2 * peak.Memory;
-    peak.Before = old ? 0 : peak.Now;
-    peak.Now = 0;
-    peak.Since = now;
+  if (now - peak.WindowStart >= peak.Window) {
+    bool isStale = now - peak.WindowStart >= 2 * peak.Window;
+    peak.PreviousMax = isStale ? 0 : peak.CurrentMax;
+    peak.CurrentMax = 0;
+    peak.WindowStart = now;
   }
-  peak.Now = std::max(peak.Now, value);
-  return std::max(peak.Now, peak.Before);
+  peak.CurrentMax = std::max(peak.CurrentMax, value);
+  return std::max(peak.CurrentMax, peak.PreviousMax);
 }
--- a/Source/Coord/gsRendezvous.cxx
+++ b/Source/Coord/gsRendezvous.cxx
@@ -16,11 +16,11 @@
   return XXH3_64bits_withSeed(name.data(), name.size(), key);
 }
 
-double gsRendezvousDraw(std::string_view name, std::uint64_t key)
+double gsRendezvousFraction(std::string_view name, std::uint64_t key)
 {
-  constexpr double most =
+  constexpr double maxWeight =
     static_cast<double>(std::numeric_limits<std::uint64_t>::max());
-  return static_cast<double>(gsRendezvousWeight(name, key)) / most;
+  return static_cast<double>(gsRendezvousWeight(name, key)) / maxWeight;
 }
 
 std::optional<std::string> gsRendezvous(
@@ -31,7 +31,7 @@
   std::uint64_t bestWeight = 0;
   for (std::string_view name : names) {
     std::uint64_t weight = gsRendezvousWeight(name, seed);
-    // Equal weights are settled by name, so that all hosts agree.
+    // Equal weights are ordered by name, so that all hosts choose the same.
     if (best.empty() || weight > bestWeight ||
         (weight == bestWeight && name < best)) {
       best = name;
@@ -44,7 +44,7 @@
   return std::string(best);
 }
 
-std::vector<std::string> gsRendezvousFirst(
+std::vector<std::string> gsRendezvousTop(
   std::vector<std::string_view> const& names, std::string_view key,
   std::size_t count)
 {
--- a/Source/Coord/gsRendezvous.h
+++ b/Source/Coord/gsRendezvous.h
@@ -1,9 +1,9 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * Rendezvous (highest random weight) hashing: every host that knows the same
- * names picks the same one for a key, and a name that goes moves only the
- * keys that it had.
+ * Rendezvous (highest random weight) hashing: all hosts with the same set of
+ * names choose the same name for a key, and the removal of a name reassigns
+ * only the keys that were assigned to it.
  */
 #pragma once
 
@@ -19,14 +19,15 @@
 /** Weight of a name for a key. The highest weight wins. */
 std::uint64_t gsRendezvousWeight(std::string_view name, std::uint64_t key);
 
-/** The same as a number from 0 to 1 that all hosts compute alike. */
-double gsRendezvousDraw(std::string_view name, std::uint64_t key);
+/** The same weight, scaled to the range from 0 to 1; equal on all hosts. */
+double gsRendezvousFraction(std::string_view name, std::uint64_t key);
 
-/** The winner among the names, or nothing when there are none. */
+/** The name with the highest weight for a key; empty if there are no names. */
 std::optional<std::string> gsRendezvous(
   std::vector<std::string_view> const& names, std::string_view key);
 
-/** The given number of names with the highest weights, the highest first. */
-std::vector<std::string> gsRendezvousFirst(
+/** At most count names with the highest weights for a key, the highest weight
+ * first. */
+std::vector<std::string> gsRendezvousTop(
   std::vector<std::string_view> const& names, std::string_view key,
   std::size_t count);
--- a/Source/Coord/gsReplica.cxx
+++ b/Source/Coord/gsReplica.cxx
@@ -5,70 +5,72 @@
 
 void gsReplicaStart(gsReplica& replica, gsTime now)
 {
-  replica.Started = now;
-  replica.NextPoll = now;
+  replica.StartedAt = now;
+  replica.NextPollAt = now;
 }
 
-void gsReplicaHear(gsReplica& replica, std::string_view peer,
-                   std::uint64_t version)
+void gsReplicaReceiveVersion(gsReplica& replica, std::string_view peer,
+                             std::uint64_t version)
 {
-  if (version > replica.Version && version >= replica.HeardVersion) {
-    replica.HeardVersion = version;
-    replica.HeardFrom = peer;
+  if (version > replica.Version && version >= replica.MaxPeerVersion) {
+    replica.MaxPeerVersion = version;
+    replica.MaxVersionPeer = peer;
   }
 }
 
-void gsReplicaTick(gsReplica& replica, gsTime now, gsReplicaOutput& out)
+void gsReplicaTick(gsReplica& replica, gsTime now, gsReplicaActions& out)
 {
-  if (now >= replica.NextPoll) {
-    replica.NextPoll = now + (replica.Ready ? replica.Settings.PollPeriod
-                                            : replica.Settings.StartPeriod);
+  if (now >= replica.NextPollAt) {
+    replica.NextPollAt =
+      now + (replica.HasDocument ? replica.Settings.PollInterval
+                                 : replica.Settings.StartupPollInterval);
     out.PollPlatform = true;
   }
-  bool behind = replica.HeardVersion > replica.Version;
-  bool patient = !replica.Ready && !replica.PlatformAnswered &&
-                 now - replica.Started < replica.Settings.PlatformPatience;
-  if (behind && !patient && now >= replica.FetchUntil) {
-    replica.FetchUntil = now + replica.Settings.FetchTimeout;
-    out.FetchFrom = replica.HeardFrom;
+  bool isBehind = replica.MaxPeerVersion > replica.Version;
+  bool isWaitingForPlatform =
+    !replica.HasDocument && !replica.HasPlatformResponded &&
+    now - replica.StartedAt < replica.Settings.StartupPlatformTimeout;
+  if (isBehind && !isWaitingForPlatform && now >= replica.FetchTimeoutAt) {
+    replica.FetchTimeoutAt = now + replica.Settings.FetchTimeout;
+    out.FetchPeer = replica.MaxVersionPeer;
   }
 }
 
-bool gsReplicaOffer(gsReplica& replica, std::uint64_t version)
+bool gsReplicaAdvance(gsReplica& replica, std::uint64_t version)
 {
-  if (replica.Ready && version <= replica.Version) {
+  if (replica.HasDocument && version <= replica.Version) {
     return false;
   }
   replica.Version = version;
-  replica.Ready = true;
-  replica.FetchUntil = gsTime{};
+  replica.HasDocument = true;
+  replica.FetchTimeoutAt = gsTime{};
   return true;
 }
 
-void gsReplicaPolled(gsReplica& replica)
+void gsReplicaRecordPoll(gsReplica& replica)
 {
-  replica.PlatformAnswered = true;
+  replica.HasPlatformResponded = true;
 }
 
-void gsAcceptanceNote(gsAcceptance& acceptance, std::string_view host,
-                      std::uint64_t version)
+void gsVersionTrackerRecord(gsVersionTracker& acceptance,
+                            std::string_view host, std::uint64_t version)
 {
-  auto found = acceptance.Confirmed.find(host);
-  if (found == acceptance.Confirmed.end()) {
-    acceptance.Confirmed.emplace(host, version);
+  auto found = acceptance.ConfirmedVersions.find(host);
+  if (found == acceptance.ConfirmedVersions.end()) {
+    acceptance.ConfirmedVersions.emplace(host, version);
     return;
   }
   found->second = std::max(found->second, version);
 }
 
-std::vector<std::string> gsAcceptanceMissing(
-  gsAcceptance const& acceptance, std::vector<std::string> const& hosts)
+std::vector<std::string> gsVersionTrackerMissingHosts(
+  gsVersionTracker const& acceptance, std::vector<std::string> const& hosts)
 {
   std::vector<std::string> missing;
   for (std::string const& host : hosts) {
-    auto found = acceptance.Confirmed.find(host);
-    if (found == acceptance.Confirmed.end() ||
-        found->second < acceptance.Version) {
+    auto found = acceptance.ConfirmedVersions.find(host);
+    if (found == acceptance.ConfirmedVersions.end() ||
+        found->second < acceptance.TargetVersion) {
       missing.push_back(host);
     }
   }
--- a/Source/Coord/gsReplica.h
+++ b/Source/Coord/gsReplica.h
@@ -2,8 +2,12 @@
 /**
  * \file
  * Replication of one versioned document from the platform's table to every
- * host. Hosts poll the platform for its version and hear of versions from
- * each other; whoever is behind fetches. A version never goes back.
+ * host. Hosts poll the platform and announce their versions to each other. A
+ * host to which a peer announces a newer version fetches the document from
+ * that peer. The version in force on a host never decreases.
+ *
+ * The state is one plain struct. Callers pass in the current time and carry
+ * out the returned actions.
  */
 #pragma once
 
@@ -17,66 +21,79 @@
 
 struct gsReplicaSettings
 {
-  gsTime PollPeriod = gsSeconds(2);
-  /** Between polls until the first document is in force. */
-  gsTime StartPeriod = gsMilliseconds(200);
+  /** Interval between polls of the platform. */
+  gsTime PollInterval = gsSeconds(2);
+  /** Interval between polls until the first document is in force. */
+  gsTime StartupPollInterval = gsMilliseconds(200);
+  /** After this time, a fetch from a peer is repeated. */
   gsTime FetchTimeout = gsSeconds(2);
-  /** How long a start waits for the platform before peers will do. */
-  gsTime PlatformPatience = gsSeconds(3);
+  /** Maximum time after the start for which a host without a document waits
+   * for the platform before it fetches the document from a peer. */
+  gsTime StartupPlatformTimeout = gsSeconds(3);
 };
 
-/** What this host holds and knows of newer versions. */
+/** Replication state of one host. */
 struct gsReplica
 {
   gsReplicaSettings Settings;
-  /** Version in force here; only ever rises. */
+  /** Version in force on this host; never decreases. */
   std::uint64_t Version = 0;
-  /** Whether the first document has been taken in. */
-  bool Ready = false;
-  bool PlatformAnswered = false;
-  gsTime Started{};
-  gsTime NextPoll{};
-  /** The newest version heard of, and from which peer. */
-  std::uint64_t HeardVersion = 0;
-  std::string HeardFrom;
-  gsTime FetchUntil{};
+  /** Whether a document is in force. */
+  bool HasDocument = false;
+  bool HasPlatformResponded = false; ///< Whether a poll has succeeded.
+  gsTime StartedAt{};  ///< When the host started the replication.
+  gsTime NextPollAt{}; ///< When the next poll of the platform is due.
+  /** Highest version that a peer has announced, if it is higher than the one
+   * that was in force at that time. */
+  std::uint64_t MaxPeerVersion = 0;
+  std::string MaxVersionPeer; ///< Peer that last announced MaxPeerVersion.
+  /** No further fetch is started before this time; reset to zero when a
+   * document is applied. */
+  gsTime FetchTimeoutAt{};
 };
 
-/** What to do next. */
-struct gsReplicaOutput
+/** Actions that the caller has to carry out. */
+struct gsReplicaActions
 {
   bool PollPlatform = false;
-  std::string FetchFrom; ///< Peer to ask for the document; may be empty.
+  std::string FetchPeer; ///< Peer to fetch the document from; empty for none.
 };
 
+/** Starts the replication; the first poll is due immediately. */
 void gsReplicaStart(gsReplica& replica, gsTime now);
 
-/** A peer said which version it has in force. */
-void gsReplicaHear(gsReplica& replica, std::string_view peer,
-                   std::uint64_t version);
+/** Processes a peer's announcement of the version that it has in force. */
+void gsReplicaReceiveVersion(gsReplica& replica, std::string_view peer,
+                             std::uint64_t version);
 
-void gsReplicaTick(gsReplica& replica, gsTime now, gsReplicaOutput& out);
+/** Determines the actions that are due. */
+void gsReplicaTick(gsReplica& replica, gsTime now, gsReplicaActions& out);
 
 /**
- * Whether a document of this version shall be put in force. True at most
- * once for each version, and only for rising versions.
+ * Advances to the version of a document that was received, if that is newer or
+ * the first one. \return Whether the caller has to put the document in force:
+ * true at most once for each version, and only for increasing versions.
  */
-bool gsReplicaOffer(gsReplica& replica, std::uint64_t version);
+bool gsReplicaAdvance(gsReplica& replica, std::uint64_t version);
 
-/** The platform answered a poll, whatever the version. */
-void gsReplicaPolled(gsReplica& replica);
+/** Records that the platform responded to a poll, whatever the version. */
+void gsReplicaRecordPoll(gsReplica& replica);
 
-/** Follows which hosts have a version in force. */
-struct gsAcceptance
+/** Tracks which hosts have a version in force. */
+struct gsVersionTracker
 {
-  std::uint64_t Version = 0;
-  std::map<std::string, std::uint64_t, std::less<>> Confirmed;
+  std::uint64_t TargetVersion =
+    0; ///< The version that hosts should have in force.
+  /** Highest version that each host has reported to be in force, by name. */
+  std::map<std::string, std::uint64_t, std::less<>> ConfirmedVersions;
 };
 
-/** Notes a host's version in force. */
-void gsAcceptanceNote(gsAcceptance& acceptance, std::string_view host,
-                      std::uint64_t version);
+/** Records the version that a host has in force. A lower version than the
+ * recorded one is ignored. */
+void gsVersionTrackerRecord(gsVersionTracker& acceptance,
+                            std::string_view host, std::uint64_t version);
 
-/** Of the given hosts, those not known to have the version in force. */
-std::vector<std::string> gsAcceptanceMissing(
-  gsAcceptance const& acceptance, std::vector<std::string> const& hosts);
+/** Returns those of the given hosts that have not reported TargetVersion or a
+ * higher version. */
+std::vector<std::string> gsVersionTrackerMissingHosts(
+  gsVersionTracker const& acceptance, std::vector<std::string> const& hosts);
--- a/Source/Coord/gsTypes.cxx
+++ b/Source/Coord/gsTypes.cxx
@@ -1,28 +1,28 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 #include "gsTypes.h"
 
-std::string gsFormatId(gsRequestId const& id)
+std::string gsFormatRequestId(gsRequestId const& id)
 {
   constexpr int hexDigits = 16;
   std::string text(hexDigits, '0');
-  std::uint64_t rest = id.Host;
+  std::uint64_t remaining = id.Host;
   for (int i = hexDigits - 1; i >= 0; --i) {
-    text[static_cast<std::size_t>(i)] = "0123456789abcdef"[rest & 0xFU];
-    rest >>= 4U;
+    text[static_cast<std::size_t>(i)] = "0123456789abcdef"[remaining & 0xFU];
+    remaining >>= 4U;
   }
   text += '-' + std::to_string(id.Sequence);
   text += '.' + std::to_string(id.Attempt);
   return text;
 }
 
-char const* gsRanWord(gsRan ran)
+char const* gsExecutedText(gsExecuted executed)
 {
-  switch (ran) {
-    case gsRan::No:
+  switch (executed) {
+    case gsExecuted::No:
       return "no";
-    case gsRan::Unknown:
+    case gsExecuted::Unknown:
       return "unknown";
-    case gsRan::Yes:
+    case gsExecuted::Yes:
       break;
   }
   return "yes";
--- a/Source/Coord/gsTypes.h
+++ b/Source/Coord/gsTypes.h
@@ -15,10 +15,10 @@
 
 #include <boost/outcome.hpp>
 
-/** A point of the monotonic clock, or a span of it, in microseconds. */
+/** A point in time of the monotonic clock, or a duration, in microseconds. */
 using gsTime = std::chrono::microseconds;
 
-/** The random source handed into the core. Seeded by the caller. */
+/** The random number generator that callers seed and pass in. */
 using gsRandom = std::mt19937_64;
 
 using gsMilliseconds = std::chrono::milliseconds;
@@ -39,7 +39,8 @@
 
 /**
  * Identifies a request across hosts. Host is a number that is unique to one
- * incarnation of an entry host; Attempt counts the asks of the same request.
+ * incarnation of an entry host; Attempt counts the times that the same request
+ * was submitted.
  */
 struct gsRequestId
 {
@@ -64,27 +65,27 @@
   }
 };
 
-/** Writes a request id as it stands in logs: host-sequence.attempt. */
-std::string gsFormatId(gsRequestId const& id);
+/** Formats a request id for logs: host-sequence.attempt. */
+std::string gsFormatRequestId(gsRequestId const& id);
 
-/** What is known of whether a request was run by an upstream. */
-enum class gsRan
+/** Whether an upstream has processed a request. */
+enum class gsExecuted
 {
-  No,      ///< Not a byte of it can have reached an upstream.
-  Unknown, ///< It may have started; the answer did not come back whole.
-  Yes      ///< An upstream answered it.
+  No,      ///< No part of it can have reached an upstream.
+  Unknown, ///< It may have been started; no complete response arrived.
+  Yes      ///< An upstream has responded to it.
 };
 
-/** The word for it in the Gradescale-Ran header. */
-char const* gsRanWord(gsRan ran);
+/** The value of the Gradescale-Ran header. */
+char const* gsExecutedText(gsExecuted executed);
 
 /** An error with the step at which it arose and the peer concerned. */
 struct gsError
 {
-  std::string Code;    ///< A stable word, such as "unknown_template".
-  std::string Message; ///< One plain sentence.
-  std::string Step;    ///< Such as "authenticate" or "send".
-  std::string Peer;    ///< An address or name; empty when there is none.
+  std::string Code;    ///< A stable identifier, such as "unknown_template".
+  std::string Message; ///< Description in one sentence.
+  std::string Step;    ///< Failed step, such as "authenticate" or "send".
+  std::string Peer; ///< Address or name of the peer; empty if there is none.
 };
 
 /** A value or a gsError. */
--- a/Source/Coord/gsUsage.cxx
+++ b/Source/Coord/gsUsage.cxx
@@ -7,16 +7,16 @@
                   gsUsageWindows const& counts)
 {
   for (auto const& [window, organisations] : counts) {
-    gsUsageCounts& known = ledger.Windows[window][std::string(source)];
+    gsUsageCounts& merged = ledger.Windows[window][std::string(source)];
     for (auto const& [organisation, count] : organisations) {
-      std::uint64_t& most = known[organisation];
-      most = std::max(most, count);
+      std::uint64_t& greatest = merged[organisation];
+      greatest = std::max(greatest, count);
     }
   }
 }
 
-void gsUsageCount(gsUsageLedger& ledger, std::string_view source,
-                  std::uint64_t window, std::string const& organisation)
+void gsUsageIncrement(gsUsageLedger& ledger, std::string_view source,
+                      std::uint64_t window, std::string const& organisation)
 {
   ++ledger.Windows[window][std::string(source)][organisation];
 }
@@ -24,11 +24,11 @@
 gsUsageCounts gsUsageSum(gsUsageLedger const& ledger, std::uint64_t window)
 {
   gsUsageCounts sum;
-  auto found = ledger.Windows.find(window);
-  if (found == ledger.Windows.end()) {
+  auto sources = ledger.Windows.find(window);
+  if (sources == ledger.Windows.end()) {
     return sum;
   }
-  for (auto const& [source, counts] : found->second) {
+  for (auto const& [source, counts] : sources->second) {
     for (auto const& [organisation, count] : counts) {
       sum[organisation] += count;
     }
@@ -36,7 +36,7 @@
   return sum;
 }
 
-gsUsageWindows gsUsageSums(gsUsageLedger const& ledger)
+gsUsageWindows gsUsageSumsByWindow(gsUsageLedger const& ledger)
 {
   gsUsageWindows sums;
   for (auto const& [window, sources] : ledger.Windows) {
@@ -45,36 +45,38 @@
   return sums;
 }
 
-void gsUsageForget(gsUsageLedger& ledger, std::uint64_t before)
+void gsUsagePurge(gsUsageLedger& ledger, std::uint64_t before)
 {
   ledger.Windows.erase(ledger.Windows.begin(),
                        ledger.Windows.lower_bound(before));
 }
 
-gsUsageWindows gsUsageNews(gsUsageWindows const& counts, gsUsageTold& told,
-                           gsTime refresh, gsTime now)
+gsUsageWindows gsUsageTakeUpdate(gsUsageWindows const& counts,
+                                 gsUsageSentCounts& sent,
+                                 gsTime refreshInterval, gsTime now)
 {
-  bool whole = told.WholeAt.count() == 0 || now - told.WholeAt >= refresh;
-  gsUsageWindows news;
+  bool sendsAll =
+    sent.FullSentAt.count() == 0 || now - sent.FullSentAt >= refreshInterval;
+  gsUsageWindows update;
   for (auto const& [window, organisations] : counts) {
     for (auto const& [organisation, count] : organisations) {
-      std::uint64_t& last = told.Counts[window][organisation];
-      if (whole || count != last) {
-        news[window][organisation] = count;
+      std::uint64_t& last = sent.Counts[window][organisation];
+      if (sendsAll || count != last) {
+        update[window][organisation] = count;
         last = count;
       }
     }
   }
-  if (whole) {
-    told.Counts = counts;
-    told.WholeAt = now;
+  if (sendsAll) {
+    sent.Counts = counts;
+    sent.FullSentAt = now;
   }
-  return news;
+  return update;
 }
 
-std::uint64_t gsUsageWindowOf(std::int64_t trueMicros, gsTime length)
+std::uint64_t gsUsageWindowOf(std::int64_t micros, gsTime length)
 {
-  return static_cast<std::uint64_t>(std::max<std::int64_t>(trueMicros, 0) /
+  return static_cast<std::uint64_t>(std::max<std::int64_t>(micros, 0) /
                                     length.count());
 }
 
--- a/Source/Coord/gsUsage.h
+++ b/Source/Coord/gsUsage.h
@@ -1,15 +1,18 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * How many requests began to run for each organisation, in windows of true
- * time, counted over all hosts. Each host's counts only grow, and are merged
- * by the greater one, so that a word that is repeated, late or out of order
- * changes nothing. A host tells its hall's coordinators at once; what a host
- * that is killed takes along is what it had not told yet. Coordinators sum
- * their hall, and tell the sums, which only grow as well, to the host that
- * reports them.
+ * Counts, over all hosts, how many requests of each organisation started to
+ * run in windows of agreed time (see gsClockAgreement.h).
  *
- * Plain structs and free functions; time is handed in.
+ * The counts of each source only grow, and two counts of the same source are
+ * merged to the greater one. Updates that are repeated, late or out of order
+ * are therefore harmless. A host sends its counts to the coordinators of its
+ * hall at once; if it is killed, only the counts not sent yet are lost.
+ * Coordinators sum the counts of their hall and send the sums, which only grow
+ * as well, to the host that reports them.
+ *
+ * Plain structs and free functions. Callers pass in the current time, and
+ * bound the number of windows with gsUsagePurge.
  */
 #pragma once
 
@@ -21,51 +24,56 @@
 
 #include "gsTypes.h"
 
-/** Requests by organisation. */
+/** Number of requests by organisation. */
 using gsUsageCounts = std::map<std::string, std::uint64_t>;
 
-/** Counts of several windows, by the window's number. */
+/** Counts by window number. */
 using gsUsageWindows = std::map<std::uint64_t, gsUsageCounts>;
 
-/** Counts by window and by who counted: a process of a host, or a hall. */
+/** Counts by window number and source. A source is a process of a host or a
+ * hall. */
 struct gsUsageLedger
 {
   std::map<std::uint64_t, std::map<std::string, gsUsageCounts>> Windows;
 };
 
-/** Takes counts of one source in; the greater one holds. */
+/** Merges counts of a source; of two counts, the greater one is kept. */
 void gsUsageMerge(gsUsageLedger& ledger, std::string_view source,
                   gsUsageWindows const& counts);
 
-/** Counts one more request of this host's own. */
-void gsUsageCount(gsUsageLedger& ledger, std::string_view source,
-                  std::uint64_t window, std::string const& organisation);
+/** Increments the count of an organisation. Source is this process. */
+void gsUsageIncrement(gsUsageLedger& ledger, std::string_view source,
+                      std::uint64_t window, std::string const& organisation);
 
-/** Sum over all sources. */
+/** Sum of a window's counts over all sources. */
 gsUsageCounts gsUsageSum(gsUsageLedger const& ledger, std::uint64_t window);
 
-/** The sums of all windows. */
-gsUsageWindows gsUsageSums(gsUsageLedger const& ledger);
+/** Sums over all sources, by window. */
+gsUsageWindows gsUsageSumsByWindow(gsUsageLedger const& ledger);
 
-/** Forgets windows before one. */
-void gsUsageForget(gsUsageLedger& ledger, std::uint64_t before);
+/** Removes the windows before a given one. */
+void gsUsagePurge(gsUsageLedger& ledger, std::uint64_t before);
 
-/** What one receiver was told. */
-struct gsUsageTold
+/** The counts sent to a receiver. */
+struct gsUsageSentCounts
 {
-  gsUsageWindows Counts;
-  gsTime WholeAt{}; ///< When all of them were last told; zero for never.
+  gsUsageWindows Counts; ///< Counts sent last.
+  gsTime FullSentAt{};   ///< When all counts were last sent; zero for never.
 };
 
 /**
- * What a receiver has to be told: counts that have grown, or all of them once
- * in a while, as a word may be lost with its link.
+ * Returns the counts that are due to be sent to a receiver and records them as
+ * sent. These are the counts that have changed since they were sent last. All
+ * counts are returned once per refresh interval, because an update may be lost
+ * with its connection.
  */
-gsUsageWindows gsUsageNews(gsUsageWindows const& counts, gsUsageTold& told,
-                           gsTime refresh, gsTime now);
+gsUsageWindows gsUsageTakeUpdate(gsUsageWindows const& counts,
+                                 gsUsageSentCounts& sent,
+                                 gsTime refreshInterval, gsTime now);
 
-/** The window of a point of true time, in microseconds since 1970. */
-std::uint64_t gsUsageWindowOf(std::int64_t trueMicros, gsTime length);
+/** Number of the window that contains a point in time, given in microseconds
+ * since 1970. */
+std::uint64_t gsUsageWindowOf(std::int64_t micros, gsTime length);
 
-/** When a window ends, in the same. */
+/** End of a window, in microseconds since 1970. */
 std::int64_t gsUsageWindowEnd(std::uint64_t window, gsTime length);
--- a/Source/Coord/gsUsageReporter.cxx
+++ b/Source/Coord/gsUsageReporter.cxx
@@ -5,165 +5,181 @@
 
 namespace {
 
-/** Whether the counts of a window are all there, or need not be waited for. */
-bool MayFix(gsUsageReporter const& reporter, gsUsageReady const& halls,
-            std::uint64_t window, gsWallTime trueNow, gsTime now)
+/** Whether a window may be committed: MinCommitDelay has passed and the counts
+ * of all known halls have arrived, or MaxCommitDelay has passed. A new lease
+ * holder also waits for TakeoverDelay, unless ReportDeadline is near. */
+bool MayCommit(gsUsageReporter const& reporter, gsUsageProgress const& halls,
+               std::uint64_t window, gsWallTime agreedNow, gsTime now)
 {
   gsUsageReporterSettings const& settings = reporter.Settings;
-  gsWallTime end = gsUsageWindowEnd(window, settings.Window);
-  if (trueNow >= end + settings.Patience.count()) {
-    return now - reporter.HoldsSince >= settings.Gather ||
-           trueNow >= end + (settings.Late - settings.Gather).count();
+  gsWallTime end = gsUsageWindowEnd(window, settings.WindowLength);
+  if (agreedNow >= end + settings.MaxCommitDelay.count()) {
+    return now - reporter.LeaseChangedAt >= settings.TakeoverDelay ||
+           agreedNow >=
+             end + (settings.ReportDeadline - settings.TakeoverDelay).count();
   }
-  return trueNow >= end + settings.Settle.count() &&
-         now - reporter.HoldsSince >= settings.Gather && halls.ToldUpTo >= end;
+  return agreedNow >= end + settings.MinCommitDelay.count() &&
+         now - reporter.LeaseChangedAt >= settings.TakeoverDelay &&
+         halls.ReceivedUpTo >= end;
 }
 
-/** The first window that is worth to be reported. */
-std::uint64_t FirstInTime(gsUsageReporter const& reporter, gsWallTime trueNow)
+/** The first window that can still be reported before ReportDeadline. */
+std::uint64_t FirstReportableWindow(gsUsageReporter const& reporter,
+                                    gsWallTime agreedNow)
 {
-  gsTime length = reporter.Settings.Window;
-  gsWallTime oldest = trueNow - reporter.Settings.Late.count();
+  gsTime length = reporter.Settings.WindowLength;
+  gsWallTime oldest = agreedNow - reporter.Settings.ReportDeadline.count();
   return gsUsageWindowOf(oldest, length);
 }
 
-std::optional<gsUsageStep> FixStep(gsUsageReporter& reporter,
-                                   gsUsageLedger const& ledger,
-                                   gsUsageReady const& halls,
-                                   gsWallTime trueNow, gsTime now)
+/** The step that commits the next window, if it may be committed. */
+std::optional<gsUsageStep> CommitStep(gsUsageReporter& reporter,
+                                      gsUsageLedger const& ledger,
+                                      gsUsageProgress const& halls,
+                                      gsWallTime agreedNow, gsTime now)
 {
-  reporter.Next = std::max(reporter.Next, FirstInTime(reporter, trueNow));
-  if (!MayFix(reporter, halls, reporter.Next, trueNow, now)) {
+  reporter.NextWindow =
+    std::max(reporter.NextWindow, FirstReportableWindow(reporter, agreedNow));
+  if (!MayCommit(reporter, halls, reporter.NextWindow, agreedNow, now)) {
     return std::nullopt;
   }
   gsUsageStep step;
-  step.Is = gsUsageStep::Kind::Fix;
-  step.Window = reporter.Next;
-  step.Counts = gsUsageSum(ledger, reporter.Next);
-  for (auto const& [window, fixed] : reporter.Fixed) {
-    if (window + gsUsageKept(reporter.Settings) < reporter.Next) {
-      step.Remove.push_back(window);
+  step.StepKind = gsUsageStep::Kind::CommitWindow;
+  step.Window = reporter.NextWindow;
+  step.Counts = gsUsageSum(ledger, reporter.NextWindow);
+  for (auto const& [window, committed] : reporter.CommittedWindows) {
+    if (window + gsUsageRetainedWindows(reporter.Settings) <
+        reporter.NextWindow) {
+      step.ExpiredWindows.push_back(window);
     }
   }
   return step;
 }
 
-std::optional<gsUsageStep> SendStep(gsUsageReporter& reporter,
-                                    gsWallTime trueNow)
+/** The step that reports the first committed window that is not reported and
+ * not late, if there is one. */
+std::optional<gsUsageStep> ReportStep(gsUsageReporter& reporter,
+                                      gsWallTime agreedNow)
 {
-  std::uint64_t oldest = FirstInTime(reporter, trueNow);
-  for (auto& [window, fixed] : reporter.Fixed) {
-    if (window >= oldest && !fixed.Done) {
-      ++fixed.Tries;
+  std::uint64_t oldest = FirstReportableWindow(reporter, agreedNow);
+  for (auto& [window, committed] : reporter.CommittedWindows) {
+    if (window >= oldest && !committed.Reported) {
+      ++committed.Attempts;
       gsUsageStep step;
-      step.Is = gsUsageStep::Kind::Send;
+      step.StepKind = gsUsageStep::Kind::ReportWindow;
       step.Window = window;
-      step.Counts = fixed.Counts;
+      step.Counts = committed.Counts;
       return step;
     }
   }
   return std::nullopt;
 }
 
-void Finish(gsUsageReporter& reporter)
+/** Ends the step in progress as successful. */
+void CompleteStep(gsUsageReporter& reporter)
 {
-  reporter.Busy = false;
-  reporter.Delay = gsTime{};
-  reporter.NextTry = gsTime{};
+  reporter.StepInProgress = false;
+  reporter.RetryDelay = gsTime{};
+  reporter.RetryAt = gsTime{};
 }
 
 } // namespace
 
-void gsUsageHold(gsUsageReporter& reporter, bool holds, gsTime now)
+void gsUsageSetLeaseHeld(gsUsageReporter& reporter, bool holdsLease,
+                         gsTime now)
 {
-  if (holds == reporter.Holds) {
+  if (holdsLease == reporter.HoldsLease) {
     return;
   }
-  reporter.Holds = holds;
-  reporter.HoldsSince = now;
-  reporter.Ready = false;
-  reporter.Busy = false;
-  reporter.NextTry = gsTime{};
+  reporter.HoldsLease = holdsLease;
+  reporter.LeaseChangedAt = now;
+  reporter.RowsRead = false;
+  reporter.StepInProgress = false;
+  reporter.RetryAt = gsTime{};
 }
 
 std::optional<gsUsageStep> gsUsageTick(gsUsageReporter& reporter,
                                        gsUsageLedger const& ledger,
-                                       gsUsageReady const& halls,
-                                       gsWallTime trueNow, gsTime now)
+                                       gsUsageProgress const& halls,
+                                       gsWallTime agreedNow, gsTime now)
 {
-  if (!reporter.Holds || reporter.Busy || now < reporter.NextTry) {
+  if (!reporter.HoldsLease || reporter.StepInProgress ||
+      now < reporter.RetryAt) {
     return std::nullopt;
   }
   std::optional<gsUsageStep> step;
-  if (!reporter.Ready) {
+  if (!reporter.RowsRead) {
     step = gsUsageStep{};
   }
   if (!step) {
-    step = SendStep(reporter, trueNow);
+    step = ReportStep(reporter, agreedNow);
   }
   if (!step) {
-    step = FixStep(reporter, ledger, halls, trueNow, now);
+    step = CommitStep(reporter, ledger, halls, agreedNow, now);
   }
-  reporter.Busy = step.has_value();
+  reporter.StepInProgress = step.has_value();
   return step;
 }
 
-void gsUsageRead(gsUsageReporter& reporter, gsUsageWindows const& rows)
+void gsUsageRowsRead(gsUsageReporter& reporter, gsUsageWindows const& rows)
 {
-  Finish(reporter);
-  reporter.Ready = true;
+  CompleteStep(reporter);
+  reporter.RowsRead = true;
   for (auto const& [window, counts] : rows) {
-    reporter.Next = std::max(reporter.Next, window + 1);
-    // Reporting a window again changes nothing.
-    reporter.Fixed[window] = { counts, false, 0 };
+    reporter.NextWindow = std::max(reporter.NextWindow, window + 1);
+    // Another host may have reported it; a second report has no effect.
+    reporter.CommittedWindows[window] = { counts, false, 0 };
   }
 }
 
-void gsUsageFixed(gsUsageReporter& reporter, std::uint64_t window,
-                  gsUsageCounts counts, bool own)
+void gsUsageWindowCommitted(gsUsageReporter& reporter, std::uint64_t window,
+                            gsUsageCounts counts, bool own)
 {
-  Finish(reporter);
-  reporter.Fixed[window] = { std::move(counts), false, 0 };
-  reporter.Next = std::max(reporter.Next, window + 1);
-  while (own &&
-         reporter.Fixed.begin()->first + gsUsageKept(reporter.Settings) <
-           window) {
-    // Its row was removed with the same write.
-    reporter.Fixed.erase(reporter.Fixed.begin());
+  CompleteStep(reporter);
+  reporter.CommittedWindows[window] = { std::move(counts), false, 0 };
+  reporter.NextWindow = std::max(reporter.NextWindow, window + 1);
+  while (own && reporter.CommittedWindows.begin()->first +
+                    gsUsageRetainedWindows(reporter.Settings) <
+                  window) {
+    // This host's write also removed the row of that window.
+    reporter.CommittedWindows.erase(reporter.CommittedWindows.begin());
   }
 }
 
-void gsUsageSent(gsUsageReporter& reporter, std::uint64_t window)
+void gsUsageWindowReported(gsUsageReporter& reporter, std::uint64_t window)
 {
-  Finish(reporter);
-  auto fixed = reporter.Fixed.find(window);
-  if (fixed != reporter.Fixed.end() && !fixed->second.Done) {
-    fixed->second.Done = true;
-    ++reporter.DoneCount;
+  CompleteStep(reporter);
+  auto committed = reporter.CommittedWindows.find(window);
+  if (committed != reporter.CommittedWindows.end() &&
+      !committed->second.Reported) {
+    committed->second.Reported = true;
+    ++reporter.ReportedCount;
   }
 }
 
-void gsUsageFailed(gsUsageReporter& reporter, gsTime now)
+void gsUsageStepFailed(gsUsageReporter& reporter, gsTime now)
 {
-  reporter.Busy = false;
-  reporter.Delay = std::clamp(reporter.Delay * 2, reporter.Settings.RetryFirst,
-                              reporter.Settings.RetryMost);
-  reporter.NextTry = now + reporter.Delay;
+  reporter.StepInProgress = false;
+  reporter.RetryDelay =
+    std::clamp(reporter.RetryDelay * 2, reporter.Settings.MinRetryDelay,
+               reporter.Settings.MaxRetryDelay);
+  reporter.RetryAt = now + reporter.RetryDelay;
 }
 
-std::uint64_t gsUsageKept(gsUsageReporterSettings const& settings)
+std::uint64_t gsUsageRetainedWindows(gsUsageReporterSettings const& settings)
 {
   return static_cast<std::uint64_t>(
-    std::max<std::int64_t>(1, settings.Memory / settings.Window));
+    std::max<std::int64_t>(1, settings.RowRetention / settings.WindowLength));
 }
 
-std::vector<std::uint64_t> gsUsageOpen(gsUsageReporter const& reporter)
+std::vector<std::uint64_t> gsUsageUnreportedWindows(
+  gsUsageReporter const& reporter)
 {
-  std::vector<std::uint64_t> open;
-  for (auto const& [window, fixed] : reporter.Fixed) {
-    if (!fixed.Done) {
-      open.push_back(window);
+  std::vector<std::uint64_t> unreported;
+  for (auto const& [window, committed] : reporter.CommittedWindows) {
+    if (!committed.Reported) {
+      unreported.push_back(window);
     }
   }
-  return open;
+  return unreported;
 }
--- a/Source/Coord/gsWatchDuty.cxx
+++ b/Source/Coord/gsWatchDuty.cxx
@@ -7,33 +7,37 @@
 
 namespace {
 
-/** Whether any host has tables that are up to date; of a list, if given. */
-bool HearsOfFreshTables(gsWatchDuty const& duty,
-                        std::vector<std::string> const* among, gsTime now)
+/** Whether any host has reported current tables. If a list is given, only
+ * hosts of the list that watch themselves are considered. */
+bool IsCovered(gsWatchDuty const& duty,
+               std::vector<std::string> const* candidates, gsTime now)
 {
-  return std::any_of(duty.Heard.begin(), duty.Heard.end(),
-                     [&duty, among, now](auto const& entry) {
-                       gsHeardWatcher const& heard = entry.second;
-                       gsTime silent = now - heard.At;
-                       // News that are passed on may be this host's own.
-                       bool isEarlier = among != nullptr && !heard.PassedOn &&
-                                        std::find(among->begin(), among->end(),
-                                                  entry.first) != among->end();
-                       bool counts = among == nullptr || isEarlier;
-                       return counts && silent <= duty.Settings.Patience &&
-                              heard.Age + silent <= duty.Settings.MostAge;
-                     });
+  return std::any_of(
+    duty.Reports.begin(), duty.Reports.end(),
+    [&duty, candidates, now](auto const& entry) {
+      gsWatcherReport const& report = entry.second;
+      gsTime silence = now - report.ReceivedAt;
+      // A forwarded report may originate from this host.
+      bool isWatcherInList = candidates != nullptr && !report.IsForwarded &&
+                             std::find(candidates->begin(), candidates->end(),
+                                       entry.first) != candidates->end();
+      bool counts = candidates == nullptr || isWatcherInList;
+      return counts && silence <= duty.Settings.WatcherTimeout &&
+             report.TablesAge + silence <= duty.Settings.MaxTablesAge;
+    });
 }
 
-/** The place of a host behind those whose order is known. */
-std::size_t PlaceBehind(std::string_view self, std::size_t known,
-                        std::size_t hallSize)
+/** The rank of a host that is not in the known part of the order, by a hash of
+ * its name. Several hosts may have the same rank. */
+std::size_t RankBehind(std::string_view self, std::size_t orderSize,
+                       std::size_t hallSize)
 {
-  std::size_t others = hallSize > known ? hallSize - known : 1;
-  return known + gsHashText(self) % others;
+  std::size_t others = hallSize > orderSize ? hallSize - orderSize : 1;
+  return orderSize + gsHashText(self) % others;
 }
 
-void NoteCover(gsWatchDuty& duty, bool covered, gsTime now)
+/** Records since when the host has been covered or uncovered. */
+void RecordCoverage(gsWatchDuty& duty, bool covered, gsTime now)
 {
   gsTime& since = covered ? duty.CoveredSince : duty.UncoveredSince;
   (covered ? duty.UncoveredSince : duty.CoveredSince) = gsTime{};
@@ -44,7 +48,7 @@
 
 } // namespace
 
-char const* gsWatchStateWord(gsWatchState state)
+char const* gsWatchStateName(gsWatchState state)
 {
   switch (state) {
     case gsWatchState::Assigned:
@@ -57,63 +61,66 @@
   return "covered";
 }
 
-void gsDutyHear(gsWatchDuty& duty, std::string_view host, gsTime age,
-                bool passedOn, gsTime now)
+void gsApplyWatcherReport(gsWatchDuty& duty, std::string_view host, gsTime age,
+                          bool isForwarded, gsTime now)
 {
-  duty.Heard[std::string(host)] = { now, age, passedOn };
+  duty.Reports[std::string(host)] = { now, age, isForwarded };
 }
 
-gsTime gsDutyFreshAt(gsWatchDuty const& duty)
+gsTime gsTablesCurrentAt(gsWatchDuty const& duty)
 {
   gsTime latest{};
-  for (auto const& [host, heard] : duty.Heard) {
-    latest = std::max(latest, heard.At - heard.Age);
+  for (auto const& [host, report] : duty.Reports) {
+    latest = std::max(latest, report.ReceivedAt - report.TablesAge);
   }
   return latest;
 }
 
-gsTime gsDutyWatchedAt(gsWatchDuty const& duty)
+gsTime gsWatchedTablesCurrentAt(gsWatchDuty const& duty)
 {
   gsTime latest{};
-  for (auto const& [host, heard] : duty.Heard) {
-    if (!heard.PassedOn) {
-      latest = std::max(latest, heard.At - heard.Age);
+  for (auto const& [host, report] : duty.Reports) {
+    if (!report.IsForwarded) {
+      latest = std::max(latest, report.ReceivedAt - report.TablesAge);
     }
   }
   return latest;
 }
 
-gsWatchState gsDutyDecide(gsWatchDuty& duty,
-                          std::vector<std::string> const& hallOrder,
-                          std::size_t hallSize, gsTime now)
+gsWatchState gsUpdateWatchState(gsWatchDuty& duty,
+                                std::vector<std::string> const& hallOrder,
+                                std::size_t hallSize, gsTime now)
 {
   std::vector<std::string> order = hallOrder;
   auto self = std::find(order.begin(), order.end(), duty.Self);
   bool listed = self != order.end();
   std::size_t rank = listed ? static_cast<std::size_t>(self - order.begin())
-                            : PlaceBehind(duty.Self, order.size(), hallSize);
-  rank = std::max(rank, listed ? rank : duty.Settings.Watchers);
-  bool assigned = listed && rank < duty.Settings.Watchers;
-  // Of two that watch without being assigned, the one that comes first in the
-  // order stays; so they do not relieve each other.
+                            : RankBehind(duty.Self, order.size(), hallSize);
+  rank = std::max(rank, listed ? rank : duty.Settings.WatchersPerHall);
+  bool assigned = listed && rank < duty.Settings.WatchersPerHall;
+  // A host that watches without being assigned is covered only by hosts that
+  // precede it in the order. Of two such hosts, the first therefore continues;
+  // otherwise each would be covered by the other, and both would stop.
   order.erase(self, order.end());
-  bool watches = duty.State == gsWatchState::Uncovered;
-  bool covered = HearsOfFreshTables(duty, watches ? &order : nullptr, now);
-  NoteCover(duty, covered, now);
-  if (now - duty.Started < duty.Settings.StartPatience) {
-    // Those whose turn comes later wait for the assigned ones from then on.
+  bool isUncovered = duty.State == gsWatchState::Uncovered;
+  bool covered = IsCovered(duty, isUncovered ? &order : nullptr, now);
+  RecordCoverage(duty, covered, now);
+  if (now - duty.StartedAt < duty.Settings.StartupDelay) {
+    // The delay of hosts that are not assigned begins at the end of
+    // StartupDelay, so that the assigned ones can start first.
     duty.UncoveredSince = duty.UncoveredSince.count() == 0 ? gsTime{} : now;
     return duty.State;
   }
   if (assigned) {
     duty.State = gsWatchState::Assigned;
   } else if (covered) {
-    bool settled = now - duty.CoveredSince >= duty.Settings.Settle;
-    duty.State = settled ? gsWatchState::Covered : duty.State;
+    bool stops = now - duty.CoveredSince >= duty.Settings.StopDelay;
+    duty.State = stops ? gsWatchState::Covered : duty.State;
   } else {
-    gsTime turn = duty.Settings.Step *
-                  static_cast<std::int64_t>(rank - duty.Settings.Watchers);
-    bool due = now - duty.UncoveredSince >= turn;
+    gsTime delay =
+      duty.Settings.TakeoverInterval *
+      static_cast<std::int64_t>(rank - duty.Settings.WatchersPerHall);
+    bool due = now - duty.UncoveredSince >= delay;
     duty.State = due ? gsWatchState::Uncovered : duty.State;
   }
   return duty.State;
--- a/Source/Coord/gsWatchDuty.h
+++ b/Source/Coord/gsWatchDuty.h
@@ -1,16 +1,22 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * Which hosts watch the platform for their hall. One host a hall, the first in
- * an order that all agree on, watches its tables and tells the others, however
- * large the hall is. When it is silent for Patience, the next watches too; and
- * the coordinators of halls tell each other what they hear. When no watcher's
- * tables are up to date, the other hosts begin to watch one after the other,
- * so that nothing depends on any one of them, and yet a platform that is
- * silent to all is not asked by all; the first of them that reaches it covers
- * the rest. Halls of no more hosts than watchers are not changed by this.
+ * Decides which hosts watch the platform's tables for their hall.
  *
- * The state is one plain struct; time is handed in.
+ * One host per hall, regardless of the size of the hall, watches the tables
+ * and sends updates to the other hosts. It is the first in an order on which
+ * all hosts agree. If it is silent for WatcherTimeout, the next host in that
+ * order watches as well. The coordinators of the halls forward the updates to
+ * each other.
+ *
+ * If no watcher has current tables, the other hosts start to watch one after
+ * another, at intervals of TakeoverInterval. No hall therefore depends on a
+ * single host, and yet a platform that does not respond to any host is not
+ * queried by all of them. The first host that reaches the platform covers the
+ * remaining ones. In halls with no more hosts than WatchersPerHall, all hosts
+ * watch.
+ *
+ * The state is one plain struct. Callers pass in the current time.
  */
 #pragma once
 
@@ -22,73 +28,87 @@
 
 #include "gsTypes.h"
 
-/** Whether a host watches, and why. */
+/** Whether a host watches the platform's tables, and why. */
 enum class gsWatchState
 {
-  Assigned,  ///< It is one of its hall's watchers.
-  Uncovered, ///< It hears of no watcher that is up to date.
-  Covered    ///< It does not watch.
+  Assigned,  ///< Watches as one of its hall's assigned watchers.
+  Uncovered, ///< Watches because no watcher reports current tables.
+  Covered    ///< Does not watch.
 };
 
-char const* gsWatchStateWord(gsWatchState state);
+char const* gsWatchStateName(gsWatchState state);
 
 struct gsWatchDutySettings
 {
-  std::size_t Watchers = 1; ///< Of each hall; each makes calls of its own.
-  /** A watcher that has been silent for so long covers nobody. */
-  gsTime Patience = gsMilliseconds(900);
-  /** Tables that are older cover nobody. */
-  gsTime MostAge = gsMilliseconds(2600);
-  /** A host stops watching after it has been covered for so long. */
-  gsTime Settle = gsMilliseconds(500);
-  /** After its start a host waits so long for others before it watches. */
-  gsTime StartPatience = gsMilliseconds(2500);
-  /** Between the beginnings of two hosts that are not assigned. */
-  gsTime Step = gsMilliseconds(250);
+  /** Assigned watchers of each hall. Each sends its own calls to the
+   * platform. */
+  std::size_t WatchersPerHall = 1;
+  /** A watcher from which no report was received for this time does not cover
+   * other hosts. */
+  gsTime WatcherTimeout = gsMilliseconds(900);
+  /** A watcher whose tables are older does not cover other hosts. */
+  gsTime MaxTablesAge = gsMilliseconds(2600);
+  /** A host that is not assigned stops watching after it was covered for this
+   * time without interruption. */
+  gsTime StopDelay = gsMilliseconds(500);
+  /** Time after its start during which a host does not change its state, so
+   * that reports from watchers can arrive. */
+  gsTime StartupDelay = gsMilliseconds(2500);
+  /** Interval between the times at which successive hosts that are not
+   * assigned start to watch. */
+  gsTime TakeoverInterval = gsMilliseconds(250);
 };
 
-/** What was last heard from a watcher. */
-struct gsHeardWatcher
+/** The last report about the age of the tables received from a host. */
+struct gsWatcherReport
 {
-  gsTime At{};
-  gsTime Age{}; ///< Of its tables, at that time.
-  /** Its tables are that young by another host's news, whom it passes on. */
-  bool PassedOn = false;
+  gsTime ReceivedAt{}; ///< When the report was received.
+  gsTime TablesAge{};  ///< Age of the tables, as reported.
+  /** The age is that of another host's tables, whose report the sender has
+   * forwarded. */
+  bool IsForwarded = false;
 };
 
 struct gsWatchDuty
 {
   gsWatchDutySettings Settings;
-  std::string Self;
-  std::map<std::string, gsHeardWatcher> Heard; ///< Of the same hall.
-  /** A host starts as if covered; it reads the tables once by itself. */
+  std::string Self; ///< Name of this host.
+  /** Last reports of hosts of the same hall, by sender. */
+  std::map<std::string, gsWatcherReport> Reports;
+  /** A host starts as covered, and reads the tables once by itself. */
   gsWatchState State = gsWatchState::Covered;
-  gsTime Started{};
-  gsTime CoveredSince{};   ///< Zero while not covered.
-  gsTime UncoveredSince{}; ///< Zero while covered.
+  gsTime StartedAt{}; ///< When this host started.
+  /** Since when a watcher with current tables has covered this host; zero
+   * while none does. */
+  gsTime CoveredSince{};
+  /** Since when no watcher has covered this host, counted from the end of
+   * StartupDelay at the earliest; zero while it is covered. */
+  gsTime UncoveredSince{};
 };
 
 /**
- * Notes that a host of the same hall watches, or passes on the news of one
- * that does, and how old its tables are.
+ * Stores a report from a host of the same hall. The host watches the tables,
+ * or forwards the report of a host that does, and reports their age.
  */
-void gsDutyHear(gsWatchDuty& duty, std::string_view host, gsTime age,
-                bool passedOn, gsTime now);
+void gsApplyWatcherReport(gsWatchDuty& duty, std::string_view host, gsTime age,
+                          bool isForwarded, gsTime now);
 
 /**
- * The latest time at which any host of the hall, by its word, had tables that
- * were up to date; zero if none has said so.
+ * The latest time at which any host of the hall reported, for itself or for
+ * another host, to have current tables; zero without reports.
  */
-gsTime gsDutyFreshAt(gsWatchDuty const& duty);
+gsTime gsTablesCurrentAt(gsWatchDuty const& duty);
 
-/** The same of hosts that watch themselves. */
-gsTime gsDutyWatchedAt(gsWatchDuty const& duty);
+/** The latest time at which any host of the hall reported for itself to have
+ * current tables; zero without such reports. */
+gsTime gsWatchedTablesCurrentAt(gsWatchDuty const& duty);
 
 /**
- * Settles whether this host watches. The order holds the first live hosts of
- * the hall, all or a part; a host that is not among them has a place of its
- * own behind them, by a hash of its name.
+ * Updates and returns the state of this host. HallOrder contains the live
+ * hosts of the hall in their agreed order, all of them or only the first ones.
+ * A host that is not contained in it is ranked behind them by a hash of its
+ * name.
  */
-gsWatchState gsDutyDecide(gsWatchDuty& duty,
-                          std::vector<std::string> const& order,
-                          std::size_t hallSize, gsTime now);
+gsWatchState gsUpdateWatchState(gsWatchDuty& duty,
+                                std::vector<std::string> const& hallOrder,
+                                std::size_t hallSize, gsTime now);
--- a/Source/Core/gsAdmit.cxx
+++ b/Source/Core/gsAdmit.cxx
@@ -6,16 +6,22 @@
 
 namespace {
 
+/** Assumed time for which a request holds a slot, before there are samples. */
 constexpr double DefaultHoldSeconds = 1.0;
+/** Number of samples below which no request is refused as infeasible. */
 constexpr std::uint64_t MinHoldSamples = 16;
 constexpr gsTime MinRetryAfter = gsSeconds(1);
 constexpr gsTime MaxRetryAfter = gsSeconds(60);
-/** The whole table is looked through, so not at every tick. */
-constexpr gsTime ExpiryPeriod = gsMilliseconds(10);
-constexpr gsTime ShedPeriod = gsMilliseconds(50);
-/** Estimates are rough: refuse only what misses by this factor. */
+/** Minimum interval between runs of gsExpireWaiting, which scans the whole
+ * waiting table and would be too expensive in every tick. */
+constexpr gsTime ExpiryInterval = gsMilliseconds(10);
+/** Minimum interval between runs of gsShedInfeasible. */
+constexpr gsTime ShedInterval = gsMilliseconds(50);
+/** Ratio of expected to remaining waiting time above which a request is
+ * refused; above 1 because the estimates are rough. */
 constexpr double InfeasibleMargin = 1.5;
 
+/** Removes a waiting request and appends its refusal to the output. */
 void Refuse(gsPool& pool, gsRequestId const& id, gsRefusalCause cause,
             gsTime now, gsPoolOutput& out)
 {
@@ -25,26 +31,27 @@
   refusal.Link = row.Link;
   refusal.Pool = pool.Name;
   refusal.Cause = cause;
-  refusal.Tier = row.Ask.Tier;
-  refusal.Organisation = row.Ask.Organisation;
-  refusal.Template = row.Ask.Template;
-  refusal.Waited = now - row.Arrived;
-  refusal.LowerWaiting = gsWaitingBelow(pool, row.Ask.Tier);
-  refusal.LowerGranted =
-    gsGrantedBelow(pool, row.Ask.Tier) - row.LowerGrantsBefore;
-  refusal.RetryAfter = std::clamp(gsExpectedWait(pool, row.Ask.Tier),
+  refusal.Tier = row.Request.Tier;
+  refusal.Organisation = row.Request.Organisation;
+  refusal.Template = row.Request.Template;
+  refusal.WaitTime = now - row.ArrivedAt;
+  refusal.LowerTierWaiting = gsLowerTierWaiting(pool, row.Request.Tier);
+  refusal.LowerTierGrants =
+    gsLowerTierGrants(pool, row.Request.Tier) - row.LowerTierGrantsAtArrival;
+  refusal.RetryAfter = std::clamp(gsExpectedWait(pool, row.Request.Tier),
                                   MinRetryAfter, MaxRetryAfter);
   gsRemoveWaiting(pool, id);
   out.Refusals.push_back(std::move(refusal));
 }
 
-/** The newest of a list that has no reserved turn; nothing if none has. */
-gsWaitingRow const* NewestIn(gsPool const& pool,
-                             std::deque<gsRequestId> const& ids)
+/** The newest waiting request of a list without a reserved turn; null if there
+ * is none. */
+gsWaitingRow const* NewestUnreserved(gsPool const& pool,
+                                     std::deque<gsRequestId> const& ids)
 {
   for (auto id = ids.rbegin(); id != ids.rend(); ++id) {
     auto row = pool.Waiting.find(*id);
-    if (row != pool.Waiting.end() && !row->second.Reserved) {
+    if (row != pool.Waiting.end() && !row->second.HasReservedTurn) {
       return &row->second;
     }
   }
@@ -52,34 +59,37 @@
 }
 
 /**
- * The request of a tier that is refused next: the newest of those that are
- * late already, else the newest of all. Reserved turns are kept.
+ * The request of a tier that is refused next: the newest of those that will
+ * miss their target, or else the newest of all. Requests with a reserved turn
+ * are not refused. Empty if there is no other.
  */
-std::optional<gsRequestId> VictimOf(gsPool const& pool,
-                                    gsTierQueue const& tier)
+std::optional<gsRequestId> NextToShed(gsPool const& pool,
+                                      gsTierQueue const& tier)
 {
   gsWaitingRow const* newest = nullptr;
-  bool late = false;
+  bool newestIsLate = false;
   auto consider = [&](gsWaitingRow const* row, bool isLate) {
-    if (row == nullptr || (late && !isLate)) {
+    if (row == nullptr || (newestIsLate && !isLate)) {
       return;
     }
-    if (newest == nullptr || (isLate && !late) || row->Order > newest->Order) {
+    if (newest == nullptr || (isLate && !newestIsLate) ||
+        row->Sequence > newest->Sequence) {
       newest = row;
-      late = isLate;
+      newestIsLate = isLate;
     }
   };
   for (auto const& [name, queue] : tier.Organisations) {
-    consider(NewestIn(pool, queue.Late), true);
-    consider(NewestIn(pool, queue.Ids), false);
+    consider(NewestUnreserved(pool, queue.LateIds), true);
+    consider(NewestUnreserved(pool, queue.InTargetIds), false);
   }
   if (newest == nullptr) {
     return std::nullopt;
   }
-  return newest->Ask.Id;
+  return newest->Request.Id;
 }
 
-/** The lowest tier with requests in the shared queue. */
+/** The lowest tier with requests in the shared queue; null if there is none.
+ */
 gsTierQueue* LowestTier(gsPool& pool)
 {
   for (auto tier = pool.Tiers.rbegin(); tier != pool.Tiers.rend(); ++tier) {
@@ -90,38 +100,42 @@
   return nullptr;
 }
 
-bool Infeasible(gsPool const& pool, gsWaitingRow const& row, gsTime now)
+/** Whether the request's expected wait exceeds its remaining time by more than
+ * the margin. */
+bool IsInfeasible(gsPool const& pool, gsWaitingRow const& row, gsTime now)
 {
-  if (pool.Estimates.Hold.Count() < MinHoldSamples) {
+  if (pool.Estimates.HoldSeconds.Count() < MinHoldSamples) {
     return false;
   }
-  double left = gsToSeconds(row.Deadline - now);
-  double expected = gsToSeconds(gsExpectedWait(pool, row.Ask.Tier));
-  return expected > left * InfeasibleMargin;
+  double remaining = gsToSeconds(row.Deadline - now);
+  double expected = gsToSeconds(gsExpectedWait(pool, row.Request.Tier));
+  return expected > remaining * InfeasibleMargin;
 }
 
 } // namespace
 
-void gsAdmit(gsPool& pool, gsAsk ask, std::uint64_t link, gsTime now)
+void gsAdmit(gsPool& pool, gsGrantRequest request, std::uint64_t link,
+             gsTime now)
 {
-  gsTierQueue& tier = gsTierOf(pool, ask.Tier);
-  gsOrganisationQueue& queue = tier.Organisations[ask.Organisation];
+  gsTierQueue& tier = gsTierQueueOf(pool, request.Tier);
+  gsOrganisationQueue& queue = tier.Organisations[request.Organisation];
   if (queue.Waiting == 0) {
-    // An organisation that was idle gets no credit for that time.
-    queue.Service = std::max(queue.Service, tier.Clock);
+    // Idle time earns no credit: the organisation resumes at the tier's
+    // virtual time.
+    queue.WeightedService = std::max(queue.WeightedService, tier.VirtualTime);
   }
   gsWaitingRow row;
-  row.Arrived = now - ask.Waited;
-  row.Deadline = row.Arrived + ask.MaxWait;
+  row.ArrivedAt = now - request.PriorWaitTime;
+  row.Deadline = row.ArrivedAt + request.MaxWait;
   row.Link = link;
-  row.Order = pool.NextOrder++;
-  row.LowerGrantsBefore = gsGrantedBelow(pool, ask.Tier);
-  gsRequestId id = ask.Id;
-  row.Ask = std::move(ask);
+  row.Sequence = pool.NextSequence++;
+  row.LowerTierGrantsAtArrival = gsLowerTierGrants(pool, request.Tier);
+  gsRequestId id = request.Id;
+  row.Request = std::move(request);
   if (!pool.Waiting.emplace(id, std::move(row)).second) {
     return;
   }
-  queue.Ids.push_back(id);
+  queue.InTargetIds.push_back(id);
   ++queue.Waiting;
   ++tier.Waiting;
 }
@@ -133,17 +147,17 @@
     return;
   }
   gsWaitingRow const& row = found->second;
-  gsTierQueue& tier = gsTierOf(pool, row.Ask.Tier);
-  gsOrganisationQueue& queue = tier.Organisations[row.Ask.Organisation];
+  gsTierQueue& tier = gsTierQueueOf(pool, row.Request.Tier);
+  gsOrganisationQueue& queue = tier.Organisations[row.Request.Organisation];
   --queue.Waiting;
   --tier.Waiting;
-  if (row.Reserved) {
-    tier.Reserved.erase(
-      std::find(tier.Reserved.begin(), tier.Reserved.end(), id));
+  if (row.HasReservedTurn) {
+    tier.ReservedIds.erase(
+      std::find(tier.ReservedIds.begin(), tier.ReservedIds.end(), id));
   }
   if (queue.Waiting == 0) {
-    queue.Ids.clear();
-    queue.Late.clear();
+    queue.InTargetIds.clear();
+    queue.LateIds.clear();
   }
   pool.Waiting.erase(found);
 }
@@ -159,13 +173,13 @@
 
 void gsWithdrawLink(gsPool& pool, std::uint64_t link)
 {
-  std::vector<gsRequestId> gone;
+  std::vector<gsRequestId> withdrawn;
   for (auto const& [id, row] : pool.Waiting) {
     if (row.Link == link) {
-      gone.push_back(id);
+      withdrawn.push_back(id);
     }
   }
-  for (gsRequestId const& id : gone) {
+  for (gsRequestId const& id : withdrawn) {
     gsRemoveWaiting(pool, id);
   }
 }
@@ -175,18 +189,18 @@
   double slots = std::max(1.0, gsTotalLimit(pool));
   double seconds = 0;
   for (std::size_t i = 0; i <= rank && i < pool.Tiers.size(); ++i) {
-    seconds +=
-      pool.Tiers[i].Waiting * pool.Estimates.Hold.Value(DefaultHoldSeconds);
+    seconds += pool.Tiers[i].Waiting *
+               pool.Estimates.HoldSeconds.Value(DefaultHoldSeconds);
   }
   return gsFromSeconds(seconds / slots);
 }
 
 void gsExpireWaiting(gsPool& pool, gsTime now, gsPoolOutput& out)
 {
-  if (now - pool.LastExpiry < ExpiryPeriod) {
+  if (now - pool.LastExpiryAt < ExpiryInterval) {
     return;
   }
-  pool.LastExpiry = now;
+  pool.LastExpiryAt = now;
   std::vector<gsRequestId> expired;
   for (auto const& [id, row] : pool.Waiting) {
     if (row.Deadline <= now) {
@@ -204,7 +218,7 @@
     gsTierQueue* tier = LowestTier(pool);
     std::optional<gsRequestId> victim;
     if (tier != nullptr) {
-      victim = VictimOf(pool, *tier);
+      victim = NextToShed(pool, *tier);
     }
     if (!victim) {
       return;
@@ -215,13 +229,13 @@
 
 void gsShedInfeasible(gsPool& pool, gsTime now, gsPoolOutput& out)
 {
-  if (now - pool.LastShed < ShedPeriod) {
+  if (now - pool.LastShedAt < ShedInterval) {
     return;
   }
-  pool.LastShed = now;
+  pool.LastShedAt = now;
   while (gsTierQueue* tier = LowestTier(pool)) {
-    std::optional<gsRequestId> victim = VictimOf(pool, *tier);
-    if (!victim || !Infeasible(pool, pool.Waiting.at(*victim), now)) {
+    std::optional<gsRequestId> victim = NextToShed(pool, *tier);
+    if (!victim || !IsInfeasible(pool, pool.Waiting.at(*victim), now)) {
       return;
     }
     Refuse(pool, *victim, gsRefusalCause::Infeasible, now, out);
--- a/Source/Core/gsArrangement.cxx
+++ b/Source/Core/gsArrangement.cxx
@@ -8,124 +8,141 @@
 
 namespace {
 
-/** Times the pace of the fast above which an engine is slow, */
+/** An engine becomes slow if its event interval exceeds the reference interval
+ * by this factor. */
 constexpr double SlowFactor = 1.18;
-/** and below which one that was is slow no longer. */
+/** A slow engine becomes fast again if its event interval is at most the
+ * reference interval times this factor. */
 constexpr double FastFactor = 1.1;
-/** Share of the engines that may be faster than those called fast. */
-constexpr double FastShare = 0.1;
-/** By how much the groups' border must be off before it moves: engines, */
-constexpr double BorderSlack = 1.2;
-/** and as a share of all. */
-constexpr double BorderSlackShare = 0.03;
+/** Quantile of the event intervals that is the reference interval. */
+constexpr double ReferenceQuantile = 0.1;
+/** Minimum change of the number of engines for long prompts, in engines. */
+constexpr double MinChange = 1.2;
+/** Minimum change of that number as a share of all engines; the larger of both
+ * bounds applies. */
+constexpr double MinChangeShare = 0.03;
 /**
- * The same share where long prompts may go to all engines: there, to move the
- * border costs more than to keep it, as each subject that crosses it is read
- * again. A guess; not varied.
+ * The same share if long prompts may be sent to all engines. Each subject that
+ * a change moves is processed again, which then costs more than an unsuitable
+ * group size. The value is an untested guess.
  */
-constexpr double PressedSlackShare = 0.2;
+constexpr double UrgentMinChangeShare = 0.2;
+/** Weight of a new sample in the mean slot hold time. */
 constexpr double HoldSmoothing = 0.05;
 /**
- * Of many engines, a division pays only where a long prompt is likely to meet
- * a stream: not where fewer than this share are busy. There it costs: a host
- * with a request in 2 s knows for most of a minute neither how fast engines
- * are nor so which kinds are long, and sends a subject to another home than
- * the others do (12 of 59 subjects in 24 s of 986 hosts).
+ * Share of busy engines below which a large service is not divided. Dividing
+ * engines is useful only if long prompts are likely to share an engine with
+ * streams. With few requests it is harmful: a host with one request in 2 s
+ * does not know for most of a minute how fast engines are, and therefore which
+ * requests are long, and sends a subject to a different engine than other
+ * hosts do. This was observed for 12 of 59 subjects within 24 s with 986
+ * hosts.
  */
-constexpr double BusyLeast = 0.02;
+constexpr double MinBusyShare = 0.02;
 
-gsEngineKey KeyOf(gsFleetRow const& row)
+gsEngineKey EngineKeyOf(gsFleetRow const& row)
 {
-  return { !row.Slow, row.Hash };
+  return { !row.IsSlow, row.Hash };
 }
 
 using Members = std::vector<std::size_t>;
 
-/** Where the first row of an engine's place stands, or would stand. */
-Members::const_iterator FirstAt(gsFleet const& fleet, Members const& members,
-                                gsEngineKey key)
+/** Position of the first row whose key is not before a given key. */
+Members::const_iterator LowerBound(gsFleet const& fleet,
+                                   Members const& members, gsEngineKey key)
 {
   return std::lower_bound(members.begin(), members.end(), key,
                           [&fleet](std::size_t index, gsEngineKey at) {
-                            return KeyOf(fleet.Rows[index]) < at;
+                            return EngineKeyOf(fleet.Rows[index]) < at;
                           });
 }
 
-/** Key of the last of the first so many; absent when there are none. */
-std::optional<gsEngineKey> BorderAfter(gsFleet const& fleet,
-                                       Members const& members,
-                                       std::uint32_t count)
+/** Key of the last of the first count rows; empty if there are none. */
+std::optional<gsEngineKey> KeyOfLast(gsFleet const& fleet,
+                                     Members const& members,
+                                     std::uint32_t count)
 {
-  std::size_t first = std::min<std::size_t>(count, members.size());
-  if (first == 0) {
+  std::size_t available = std::min<std::size_t>(count, members.size());
+  if (available == 0) {
     return std::nullopt;
   }
-  return KeyOf(fleet.Rows[members[first - 1]]);
+  return EngineKeyOf(fleet.Rows[members[available - 1]]);
 }
 
-/** Notes the groups that engines are in, as the division is to change. */
-void NoteGroupsBefore(gsFleet& fleet, gsEngineArrangement const& arrangement,
-                      std::vector<std::size_t> const& members)
+/** Stores the current groups of engines before the arrangement changes. */
+void StorePreviousGroups(gsFleet& fleet,
+                         gsEngineArrangement const& arrangement,
+                         std::vector<std::size_t> const& members)
 {
   for (std::size_t index : members) {
     gsFleetRow& row = fleet.Rows[index];
-    row.GroupBefore = gsGroupUnder(fleet, arrangement, row);
+    row.PreviousGroup = gsGroupInArrangement(fleet, arrangement, row);
   }
 }
 
-void Decay(gsDemand& demand, gsTime halfLife, gsTime now)
+/** Applies the exponential decay until now to a host's own demand. */
+void ApplyDecay(gsDemand& demand, gsTime halfLife, gsTime now)
 {
-  double halves = gsToSeconds(now - demand.At) / gsToSeconds(halfLife);
-  double keep = std::exp2(-std::max(0.0, halves));
-  demand.Long *= keep;
-  demand.Tight *= keep;
-  demand.At = now;
+  double halfLives =
+    gsToSeconds(now - demand.DecayedAt) / gsToSeconds(halfLife);
+  double factor = std::exp2(-std::max(0.0, halfLives));
+  demand.LongTokens *= factor;
+  demand.TightTokens *= factor;
+  demand.DecayedAt = now;
 }
 
-/** How long a request keeps one of the service's engines busy, in tokens. */
-double WorkOf(gsFleet const& fleet, gsPlacementAsk const& ask)
+/** Time for which a request keeps an engine of its service busy, in prompt
+ * tokens that an engine processes in that time. */
+double EngineTimeOf(gsFleet const& fleet, gsPlacementRequest const& ask)
 {
   auto rows = fleet.ByService.find(std::string(ask.Service));
-  bool none = rows == fleet.ByService.end() || rows->second.empty();
+  bool isEmpty = rows == fleet.ByService.end() || rows->second.empty();
   double slots =
-    none ? 1 : std::max(1U, fleet.Rows[rows->second.front()].Listed.Slots);
+    isEmpty ? 1 : std::max(1U, fleet.Rows[rows->second.front()].Listed.Slots);
   return ask.PromptTokens +
          fleet.Settings.StepTokens / slots * ask.AnswerTokens;
 }
 
-/** Pace of the fast among these engines; zero when none is known. */
-double FastPace(gsFleet const& fleet, std::vector<std::size_t> const& members)
+/** Reference event interval of fast engines, milliseconds; zero if no event
+ * interval is known. */
+double ReferenceInterval(gsFleet const& fleet,
+                         std::vector<std::size_t> const& members)
 {
-  std::vector<double> paces;
-  paces.reserve(members.size());
+  std::vector<double> intervals;
+  intervals.reserve(members.size());
   for (std::size_t index : members) {
-    double pace = gsPaceOf(fleet.Rows[index]);
-    if (pace > 0) {
-      paces.push_back(pace);
+    double interval = gsEventIntervalMillis(fleet.Rows[index]);
+    if (interval > 0) {
+      intervals.push_back(interval);
     }
   }
-  if (paces.empty()) {
+  if (intervals.empty()) {
     return 0;
   }
-  auto faster =
-    static_cast<std::ptrdiff_t>(FastShare * static_cast<double>(paces.size()));
-  std::nth_element(paces.begin(), paces.begin() + faster, paces.end());
-  return paces[static_cast<std::size_t>(faster)];
+  auto fasterCount = static_cast<std::ptrdiff_t>(
+    ReferenceQuantile * static_cast<double>(intervals.size()));
+  std::nth_element(intervals.begin(), intervals.begin() + fasterCount,
+                   intervals.end());
+  return intervals[static_cast<std::size_t>(fasterCount)];
 }
 
-std::vector<std::uint32_t> DecideSlow(gsFleet const& fleet,
-                                      std::vector<std::size_t> const& members,
-                                      gsEngineArrangement const& before)
+/** Decides which engines of a service are slow. \return Their hashes,
+ * ascending.
+ */
+std::vector<std::uint32_t> DecideSlowEngines(
+  gsFleet const& fleet, std::vector<std::size_t> const& members,
+  gsEngineArrangement const& previous)
 {
-  double fast = FastPace(fleet, members);
+  double reference = ReferenceInterval(fleet, members);
   std::vector<std::uint32_t> slow;
   for (std::size_t index : members) {
     gsFleetRow const& row = fleet.Rows[index];
-    bool wasSlow = gsIsSlowEngine(before, row);
-    double pace = gsPaceOf(row);
-    // A host that has just begun to decide keeps what it can not judge yet.
-    double limit = (wasSlow ? FastFactor : SlowFactor) * fast;
-    bool isSlow = pace > 0 ? pace > limit : wasSlow;
+    bool wasSlow = gsIsSlowEngine(previous, row);
+    double interval = gsEventIntervalMillis(row);
+    // Without measurements the engine keeps its class: a new deciding host
+    // does not have any yet.
+    double limit = (wasSlow ? FastFactor : SlowFactor) * reference;
+    bool isSlow = interval > 0 ? interval > limit : wasSlow;
     if (isSlow) {
       slow.push_back(row.Hash);
     }
@@ -134,52 +151,57 @@
   return slow;
 }
 
-/** Engines for long prompts; moves only when demand clearly has. */
+/** Decides the number of engines for long prompts. It only changes if demand
+ * has changed by more than the minimum change. */
 std::uint32_t DecideLongEngines(gsDemand const& demand, double count,
-                                double slackShare, std::uint32_t before)
+                                double minChangeShare, std::uint32_t previous)
 {
-  double forLong = demand.Long + demand.OthersLong;
-  double forTight = demand.Tight + demand.OthersTight;
-  if (forLong < 1 || forTight < 1 || count < 2) {
+  double longTokens = demand.LongTokens + demand.OthersLongTokens;
+  double tightTokens = demand.TightTokens + demand.OthersTightTokens;
+  if (longTokens < 1 || tightTokens < 1 || count < 2) {
     return 0;
   }
-  double engines = count * forLong / (forLong + forTight);
-  double slack = std::max(BorderSlack, slackShare * count);
-  bool moved = std::abs(engines - before) > slack;
-  if (!moved && before != 0 && before < count) {
-    return before;
+  double engines = count * longTokens / (longTokens + tightTokens);
+  double minChange = std::max(MinChange, minChangeShare * count);
+  bool hasChanged = std::abs(engines - previous) > minChange;
+  if (!hasChanged && previous != 0 && previous < count) {
+    return previous;
   }
   return static_cast<std::uint32_t>(
     std::clamp(std::round(engines), 1.0, count - 1));
 }
 
-/** Whether so few of many engines are busy that they need no division. */
-bool NeedsNoDivision(double busy, std::size_t engines,
-                     gsEngineArrangement const& known)
+/** Whether a service has many engines of which too few are busy to divide
+ * them. */
+bool IsTooIdleToDivide(double busy, std::size_t engines,
+                       gsEngineArrangement const& known)
 {
-  // Once divided they stay so until half as many are busy.
-  double least = known.LongEngines == 0 ? BusyLeast : BusyLeast / 2;
-  return engines > gsWeighedWhole &&
-         busy < least * static_cast<double>(engines);
+  // Hysteresis: divided engines stay divided until half as many are busy.
+  double minShare = known.LongEngines == 0 ? MinBusyShare : MinBusyShare / 2;
+  return engines > gsMaxFullyEvaluated &&
+         busy < minShare * static_cast<double>(engines);
 }
 
-/** Whether it is time to decide anew how a service's engines are divided. */
+/** Whether the arrangement of a service may be decided again. The first
+ * division is decided as soon as demand is known, without a minimum interval.
+ */
 bool DecisionIsDue(gsFleetSettings const& settings, gsDemand const& demand,
                    gsEngineArrangement const& known, std::size_t engines,
                    gsTime now)
 {
-  bool demandIsKnown = now - demand.Since >= settings.DemandPatience;
+  bool demandIsKnown = now - demand.FirstRequestAt >= settings.MinDemandTime;
   if (demandIsKnown && known.LongEngines == 0) {
     return true;
   }
-  gsTime gap = settings.DecisionGap +
-               settings.DecisionGapOfEach * static_cast<std::int64_t>(engines);
-  return now - demand.DecidedAt >= gap;
+  gsTime interval =
+    settings.DecisionInterval +
+    settings.DecisionIntervalPerEngine * static_cast<std::int64_t>(engines);
+  return now - demand.DecidedAt >= interval;
 }
 
 } // namespace
 
-char const* gsFleetGroupWord(gsFleetGroup group)
+char const* gsFleetGroupName(gsFleetGroup group)
 {
   switch (group) {
     case gsFleetGroup::Long:
@@ -192,24 +214,24 @@
   return "any";
 }
 
-gsFleetGroup gsGroupUnder(gsFleet const& fleet,
-                          gsEngineArrangement const& arrangement,
-                          gsFleetRow const& row)
+gsFleetGroup gsGroupInArrangement(gsFleet const& fleet,
+                                  gsEngineArrangement const& arrangement,
+                                  gsFleetRow const& row)
 {
   auto members = fleet.ByService.find(row.Listed.Service);
   if (arrangement.LongEngines == 0 || members == fleet.ByService.end()) {
     return gsFleetGroup::Any;
   }
-  bool isLong = gsIsBefore(
-    row, BorderAfter(fleet, members->second, arrangement.LongEngines));
+  bool isLong = gsIsAtOrBefore(
+    row, KeyOfLast(fleet, members->second, arrangement.LongEngines));
   return isLong ? gsFleetGroup::Long : gsFleetGroup::Tight;
 }
 
 bool gsIsSlowEngine(gsEngineArrangement const& arrangement,
                     gsFleetRow const& row)
 {
-  return std::binary_search(arrangement.Slow.begin(), arrangement.Slow.end(),
-                            row.Hash);
+  return std::binary_search(arrangement.SlowEngines.begin(),
+                            arrangement.SlowEngines.end(), row.Hash);
 }
 
 void gsRankEngines(gsFleet& fleet, std::string const& service,
@@ -218,24 +240,25 @@
   gsEngineArrangement const& arrangement = fleet.Arrangements[service];
   for (std::size_t index : members) {
     gsFleetRow& row = fleet.Rows[index];
-    row.Slow = gsIsSlowEngine(arrangement, row);
+    row.IsSlow = gsIsSlowEngine(arrangement, row);
   }
   std::sort(members.begin(), members.end(),
             [&fleet](std::size_t a, std::size_t b) {
-              return KeyOf(fleet.Rows[a]) < KeyOf(fleet.Rows[b]);
+              return EngineKeyOf(fleet.Rows[a]) < EngineKeyOf(fleet.Rows[b]);
             });
 }
 
-void gsRankIn(gsFleet const& fleet, std::vector<std::size_t>& members,
-              std::size_t index)
+void gsInsertRanked(gsFleet const& fleet, std::vector<std::size_t>& members,
+                    std::size_t index)
 {
-  members.insert(FirstAt(fleet, members, KeyOf(fleet.Rows[index])), index);
+  members.insert(LowerBound(fleet, members, EngineKeyOf(fleet.Rows[index])),
+                 index);
 }
 
-void gsRankOut(gsFleet const& fleet, std::vector<std::size_t>& members,
-               std::size_t index)
+void gsRemoveRanked(gsFleet const& fleet, std::vector<std::size_t>& members,
+                    std::size_t index)
 {
-  auto found = FirstAt(fleet, members, KeyOf(fleet.Rows[index]));
+  auto found = LowerBound(fleet, members, EngineKeyOf(fleet.Rows[index]));
   found = std::find(found, members.cend(), index);
   if (found != members.cend()) {
     members.erase(found);
@@ -248,40 +271,41 @@
   if (members == fleet.ByService.end()) {
     return 0;
   }
-  auto first = FirstAt(fleet, members->second, KeyOf(row));
+  auto first = LowerBound(fleet, members->second, EngineKeyOf(row));
   return static_cast<std::uint32_t>(first - members->second.begin());
 }
 
-void gsNoteDemand(gsFleet& fleet, gsPlacementAsk const& ask, gsTime now)
+void gsRecordDemand(gsFleet& fleet, gsPlacementRequest const& ask, gsTime now)
 {
   if (ask.PromptTokens == 0) {
     return;
   }
   gsDemand& demand = fleet.Demand[std::string(ask.Service)];
-  Decay(demand, fleet.Settings.DemandHalfLife, now);
-  if (demand.Since.count() == 0) {
-    demand.Since = now;
+  ApplyDecay(demand, fleet.Settings.DemandHalfLife, now);
+  if (demand.FirstRequestAt.count() == 0) {
+    demand.FirstRequestAt = now;
   }
   bool isLong = ask.Group == gsFleetGroup::Long;
-  (isLong ? demand.Long : demand.Tight) += WorkOf(fleet, ask);
+  (isLong ? demand.LongTokens : demand.TightTokens) +=
+    EngineTimeOf(fleet, ask);
 }
 
-void gsNoteOthersDemand(gsFleet& fleet, std::string const& service,
-                        gsServiceDemand const& others, gsTime now)
+void gsSetOthersDemand(gsFleet& fleet, std::string const& service,
+                       gsServiceDemand const& others, gsTime now)
 {
-  bool none = others.Long == 0 && others.Tight == 0;
-  if (none && fleet.Demand.count(service) == 0) {
+  bool isZero = others.LongTokens == 0 && others.TightTokens == 0;
+  if (isZero && fleet.Demand.count(service) == 0) {
     return;
   }
   gsDemand& demand = fleet.Demand[service];
-  demand.OthersLong = others.Long;
-  demand.OthersTight = others.Tight;
-  if (!none && demand.Since.count() == 0) {
-    demand.Since = now;
+  demand.OthersLongTokens = others.LongTokens;
+  demand.OthersTightTokens = others.TightTokens;
+  if (!isZero && demand.FirstRequestAt.count() == 0) {
+    demand.FirstRequestAt = now;
   }
 }
 
-double gsEnginesBusy(gsFleet const& fleet, std::string const& service,
+double gsBusyEngines(gsFleet const& fleet, std::string const& service,
                      double millisPerToken, gsTime now)
 {
   auto found = fleet.Demand.find(service);
@@ -290,22 +314,22 @@
   }
   gsDemand const& demand = found->second;
   double halfLife = gsToSeconds(fleet.Settings.DemandHalfLife);
-  double halves = gsToSeconds(now - demand.At) / halfLife;
-  double own =
-    (demand.Long + demand.Tight) * std::exp2(-std::max(0.0, halves));
-  double tokens = own + demand.OthersLong + demand.OthersTight;
-  // A sum that halves in that time is so many seconds of its rate.
+  double halfLives = gsToSeconds(now - demand.DecayedAt) / halfLife;
+  double own = (demand.LongTokens + demand.TightTokens) *
+               std::exp2(-std::max(0.0, halfLives));
+  double tokens = own + demand.OthersLongTokens + demand.OthersTightTokens;
+  // In equilibrium, a decaying sum equals its rate times halfLife / ln 2.
   double perSecond = tokens * std::log(2.0) / halfLife;
   return perSecond * millisPerToken / 1e3;
 }
 
-void gsNoteHold(gsFleet& fleet, gsFleetRow const& row, gsTime held)
+void gsRecordSlotHold(gsFleet& fleet, gsFleetRow const& row, gsTime holdTime)
 {
   std::string const& service = row.Listed.Service;
   bool isLong = gsIsLongEngine(fleet, row);
   gsDemand& demand = fleet.Demand[service];
-  double& hold = isLong ? demand.HoldLong : demand.HoldTight;
-  double millis = gsToSeconds(held) * 1e3;
+  double& hold = isLong ? demand.LongHoldMillis : demand.TightHoldMillis;
+  double millis = gsToSeconds(holdTime) * 1e3;
   hold += (hold == 0 ? 1 : HoldSmoothing) * (millis - hold);
 }
 
@@ -317,7 +341,7 @@
     if (rows == fleet.ByService.end()) {
       continue;
     }
-    Decay(demand, settings.DemandHalfLife, now);
+    ApplyDecay(demand, settings.DemandHalfLife, now);
     std::size_t engines = rows->second.size();
     gsEngineArrangement& known = fleet.Arrangements[service];
     if (!DecisionIsDue(settings, demand, known, engines, now)) {
@@ -325,24 +349,25 @@
     }
     demand.DecidedAt = now;
     gsEngineArrangement next = known;
-    gsTime slowGap =
-      settings.SlowGapOfEach * static_cast<std::int64_t>(engines);
-    if (now - demand.SlowAt >= slowGap) {
-      demand.SlowAt = now;
-      next.Slow = DecideSlow(fleet, rows->second, known);
+    gsTime slowInterval = settings.SlowDecisionIntervalPerEngine *
+                          static_cast<std::int64_t>(engines);
+    if (now - demand.SlowDecidedAt >= slowInterval) {
+      demand.SlowDecidedAt = now;
+      next.SlowEngines = DecideSlowEngines(fleet, rows->second, known);
     }
-    if (now - demand.Since >= settings.DemandPatience) {
-      gsEnginePace const& pace = fleet.Paces[service];
-      double busy = gsEnginesBusy(fleet, service, pace.TokenMillis, now);
-      double slack = gsIsPressed(pace) ? PressedSlackShare : BorderSlackShare;
+    if (now - demand.FirstRequestAt >= settings.MinDemandTime) {
+      gsEngineTiming const& timing = fleet.EngineTimings[service];
+      double busy = gsBusyEngines(fleet, service, timing.TokenMillis, now);
+      double minChangeShare =
+        gsAreLongPromptsUrgent(timing) ? UrgentMinChangeShare : MinChangeShare;
       next.LongEngines =
-        NeedsNoDivision(busy, engines, known)
+        IsTooIdleToDivide(busy, engines, known)
           ? 0
-          : DecideLongEngines(demand, static_cast<double>(engines), slack,
-                              known.LongEngines);
+          : DecideLongEngines(demand, static_cast<double>(engines),
+                              minChangeShare, known.LongEngines);
     }
     if (!(next == known)) {
-      NoteGroupsBefore(fleet, known, rows->second);
+      StorePreviousGroups(fleet, known, rows->second);
       ++next.Version;
       known = std::move(next);
       gsRankEngines(fleet, service, rows->second);
@@ -359,7 +384,7 @@
   }
   auto rows = fleet.ByService.find(service);
   if (rows != fleet.ByService.end()) {
-    NoteGroupsBefore(fleet, known, rows->second);
+    StorePreviousGroups(fleet, known, rows->second);
   }
   known = arrangement;
   if (rows != fleet.ByService.end()) {
@@ -368,30 +393,31 @@
   return true;
 }
 
-std::uint32_t gsLongEngines(gsFleet const& fleet, std::string_view service)
+std::uint32_t gsLongEngineCount(gsFleet const& fleet, std::string_view service)
 {
   auto known = fleet.Arrangements.find(std::string(service));
-  bool none = !fleet.Settings.Groups || known == fleet.Arrangements.end();
-  return none ? 0 : known->second.LongEngines;
+  bool isUndivided =
+    !fleet.Settings.DivideEngines || known == fleet.Arrangements.end();
+  return isUndivided ? 0 : known->second.LongEngines;
 }
 
-std::optional<gsEngineKey> gsLongBorder(gsFleet const& fleet,
-                                        std::string_view service)
+std::optional<gsEngineKey> gsLastLongEngine(gsFleet const& fleet,
+                                            std::string_view service)
 {
   auto members = fleet.ByService.find(std::string(service));
   if (members == fleet.ByService.end()) {
     return std::nullopt;
   }
-  return BorderAfter(fleet, members->second, gsLongEngines(fleet, service));
+  return KeyOfLast(fleet, members->second, gsLongEngineCount(fleet, service));
 }
 
-bool gsIsBefore(gsFleetRow const& row,
-                std::optional<gsEngineKey> const& border)
+bool gsIsAtOrBefore(gsFleetRow const& row,
+                    std::optional<gsEngineKey> const& border)
 {
-  return border && !(*border < KeyOf(row));
+  return border && !(*border < EngineKeyOf(row));
 }
 
 bool gsIsLongEngine(gsFleet const& fleet, gsFleetRow const& row)
 {
-  return gsIsBefore(row, gsLongBorder(fleet, row.Listed.Service));
+  return gsIsAtOrBefore(row, gsLastLongEngine(fleet, row.Listed.Service));
 }
--- a/Source/Core/gsArrangement.h
+++ b/Source/Core/gsArrangement.h
@@ -1,9 +1,14 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * How a service's engines are divided between long prompts and tight streams.
- * Every host counts what it is asked for; one host decides for all, by the
- * demand of all hosts, and the others adopt its decision.
+ * The arrangement of a service's engines: which of them are slow, and how many
+ * are assigned to long prompts instead of tight streams. Each host measures
+ * its own demand. One host decides the arrangement from the demand of all
+ * hosts, and the other hosts adopt its decision.
+ *
+ * After the first division, decisions are made at most once per interval, and
+ * change the group sizes only after a significant change of demand: each
+ * change moves subjects to engines that have not cached their prompt parts.
  */
 #pragma once
 
@@ -16,68 +21,73 @@
 #include "gsFleet.h"
 #include "gsPlacement.h"
 
-char const* gsFleetGroupWord(gsFleetGroup group);
+/** Name of a group for logs. */
+char const* gsFleetGroupName(gsFleetGroup group);
 
-/** Counts a new request towards the sizes of the groups. */
-void gsNoteDemand(gsFleet& fleet, gsPlacementAsk const& ask, gsTime now);
+/** Adds a new request to the demand of its group. */
+void gsRecordDemand(gsFleet& fleet, gsPlacementRequest const& ask, gsTime now);
 
-/** Takes in what all other hosts were asked for, by their last word. */
-void gsNoteOthersDemand(gsFleet& fleet, std::string const& service,
-                        gsServiceDemand const& others, gsTime now);
+/** Sets the demand of all other hosts combined, as last reported. */
+void gsSetOthersDemand(gsFleet& fleet, std::string const& service,
+                       gsServiceDemand const& others, gsTime now);
 
-/** Engines of a service that the work it was lately asked for keeps busy. */
-double gsEnginesBusy(gsFleet const& fleet, std::string const& service,
+/** Number of a service's engines that the recent demand of all hosts keeps
+ * busy. */
+double gsBusyEngines(gsFleet const& fleet, std::string const& service,
                      double millisPerToken, gsTime now);
 
-/** Notes for how long an attempt that ended whole held a slot. */
-void gsNoteHold(gsFleet& fleet, gsFleetRow const& row, gsTime held);
+/** Records the time for which a completed attempt has holdTime a slot. */
+void gsRecordSlotHold(gsFleet& fleet, gsFleetRow const& row, gsTime holdTime);
 
-/** The group that an engine is in under a division of its service's. */
-gsFleetGroup gsGroupUnder(gsFleet const& fleet,
-                          gsEngineArrangement const& arrangement,
-                          gsFleetRow const& row);
+/** The group to which an arrangement of its service assigns an engine. */
+gsFleetGroup gsGroupInArrangement(gsFleet const& fleet,
+                                  gsEngineArrangement const& arrangement,
+                                  gsFleetRow const& row);
 
-/** Whether a decision names an engine among the slow ones. */
+/** Whether an arrangement lists an engine as slow. */
 bool gsIsSlowEngine(gsEngineArrangement const& arrangement,
                     gsFleetRow const& row);
 
-/** Orders all of a service's rows after a decision: slow engines first, then
- * by hash. */
+/** Sorts all rows of a service by its current arrangement: slow engines first,
+ * then by hash. */
 void gsRankEngines(gsFleet& fleet, std::string const& service,
                    std::vector<std::size_t>& members);
 
-/** Puts one row into that order, or takes it out. */
-void gsRankIn(gsFleet const& fleet, std::vector<std::size_t>& members,
-              std::size_t index);
-void gsRankOut(gsFleet const& fleet, std::vector<std::size_t>& members,
-               std::size_t index);
+/** Inserts a row into a service's sorted rows. */
+void gsInsertRanked(gsFleet const& fleet, std::vector<std::size_t>& members,
+                    std::size_t index);
+/** Removes a row from a service's sorted rows. */
+void gsRemoveRanked(gsFleet const& fleet, std::vector<std::size_t>& members,
+                    std::size_t index);
 
-/** The place of a row in its service's order; the first has 0. */
+/** Index of a row in the sorted rows of its service. */
 std::uint32_t gsRankOf(gsFleet const& fleet, gsFleetRow const& row);
 
 /**
- * Decides, for all hosts, which engines of each service are slow and how many
- * are for long prompts. To be run a few times a second by one host.
+ * Decides the arrangement of each service for all hosts. To be called a few
+ * times per second, on one host only.
  */
 void gsDecideArrangements(gsFleet& fleet, gsTime now);
 
 /**
- * Takes a decision of another host, if it is newer than what is known; true
- * if it is.
+ * Applies an arrangement decided by another host if it supersedes the known
+ * one. \return Whether it was applied.
  */
 bool gsAdoptArrangement(gsFleet& fleet, std::string const& service,
                         gsEngineArrangement const& arrangement);
 
-/** How many of a service's engines are for long prompts; 0 for no groups. */
-std::uint32_t gsLongEngines(gsFleet const& fleet, std::string_view service);
+/** Number of a service's engines for long prompts; 0 if the engines are not
+ * divided. */
+std::uint32_t gsLongEngineCount(gsFleet const& fleet,
+                                std::string_view service);
 
-/** The place of the last engine for long prompts; absent where none is. */
-std::optional<gsEngineKey> gsLongBorder(gsFleet const& fleet,
-                                        std::string_view service);
+/** Sort key of the last engine for long prompts; empty if there is none. */
+std::optional<gsEngineKey> gsLastLongEngine(gsFleet const& fleet,
+                                            std::string_view service);
 
-/** Whether a row stands before a border of its service's order, or at it. */
-bool gsIsBefore(gsFleetRow const& row,
-                std::optional<gsEngineKey> const& border);
+/** Whether a row is at or before a border in the order of its service. */
+bool gsIsAtOrBefore(gsFleetRow const& row,
+                    std::optional<gsEngineKey> const& border);
 
-/** Whether an engine is for long prompts now. */
+/** Whether an engine is currently assigned to long prompts. */
 bool gsIsLongEngine(gsFleet const& fleet, gsFleetRow const& row);
--- a/Source/Core/gsCandidates.cxx
+++ b/Source/Core/gsCandidates.cxx
@@ -10,69 +10,81 @@
 
 namespace {
 
-/** A subject's home is the first by its own order in so many arcs, */
-constexpr std::size_t Arcs = 4;
-/** each of so many upstreams of the group: an upstream gets as many subjects
- * as it lies in arcs, at most four times the mean of 1,000. */
-constexpr std::size_t InArc = 8;
-/** An arc ends after so many of either group. */
-constexpr std::size_t ArcMost = 24;
-/** Drawn at random, of which those of the own hall go first, */
-constexpr std::size_t Drawn = 64;
-/** and so many are weighed. */
-constexpr std::size_t DrawnWeighed = 24;
-constexpr std::size_t DrawnFurther = 512;
+/** Number of arcs of the ring from which a subject's home is chosen by
+ * rendezvous hashing. */
+constexpr std::size_t ArcCount = 4;
+/** Number of upstreams of the request's group per arc. The number of subjects
+ * of an upstream is proportional to the number of arcs that contain it; with
+ * 1,000 upstreams none has more than four times the mean. */
+constexpr std::size_t ArcGroupSize = 8;
+/** Maximum number of upstreams per arc, whichever their group. */
+constexpr std::size_t MaxArcSize = 24;
+/** Number of random draws; upstreams of the own hall are preferred among them.
+ */
+constexpr std::size_t DrawCount = 64;
+/** Number of drawn upstreams that are evaluated. */
+constexpr std::size_t EvaluatedDrawCount = 24;
+/** Number of random draws if none of the first candidates can be chosen. */
+constexpr std::size_t FurtherDrawCount = 512;
 
-using Members = std::vector<std::size_t>;
+/** Indices into gsFleet::Rows. */
+using RowIndices = std::vector<std::size_t>;
 
-Members const* MembersOf(gsFleet const& fleet, gsCandidateAsk const& ask)
+/** All upstreams of the service; null if it has none. */
+RowIndices const* ServiceRows(gsFleet const& fleet,
+                              gsCandidateQuery const& query)
 {
-  auto found = fleet.ByService.find(std::string(ask.Service));
+  auto found = fleet.ByService.find(std::string(query.Service));
   return found == fleet.ByService.end() ? nullptr : &found->second;
 }
 
-bool IsInGroup(gsFleetRow const& row, gsCandidateAsk const& ask)
+/** Whether the engine belongs to the queried group. */
+bool IsInGroup(gsFleetRow const& row, gsCandidateQuery const& query)
 {
-  if (ask.Group == gsFleetGroup::Any || !ask.Border) {
+  if (query.Group == gsFleetGroup::Any || !query.GroupBoundary) {
     return true;
   }
-  bool wantsLong = ask.Group == gsFleetGroup::Long;
-  return gsIsBefore(row, ask.Border) == wantsLong;
+  bool wantsLong = query.Group == gsFleetGroup::Long;
+  return gsIsAtOrBefore(row, query.GroupBoundary) == wantsLong;
 }
 
-/** Adds the upstreams from a point of the ring on. */
-void AddArc(gsFleet const& fleet, gsCandidateAsk const& ask,
-            gsEngineRing const& ring, std::size_t begin, Members& homes)
+/** Appends the upstreams of the arc that begins at an index of the ring. */
+void AddArc(gsFleet const& fleet, gsCandidateQuery const& query,
+            gsEngineRing const& ring, std::size_t begin, RowIndices& homes)
 {
   std::size_t found = 0;
-  for (std::size_t i = 0; i < ArcMost && found < InArc; ++i) {
+  for (std::size_t i = 0; i < MaxArcSize && found < ArcGroupSize; ++i) {
     std::size_t index = ring[(begin + i) % ring.size()].Row;
     homes.push_back(index);
-    found += IsInGroup(fleet.Rows[index], ask) ? 1 : 0;
+    found += IsInGroup(fleet.Rows[index], query) ? 1 : 0;
   }
 }
 
-Members HomesOf(gsFleet const& fleet, gsCandidateAsk const& ask)
+/** Candidates for the home of the query's subject; empty without a subject.
+ * The arcs begin at positions hashed from the subject. */
+RowIndices HomeRowsOf(gsFleet const& fleet, gsCandidateQuery const& query)
 {
-  auto ring = fleet.Rings.find(std::string(ask.Service));
-  if (ask.Subject == 0 || ring == fleet.Rings.end()) {
+  auto ring = fleet.Rings.find(std::string(query.Service));
+  if (query.Subject == 0 || ring == fleet.Rings.end()) {
     return {};
   }
-  Members homes;
-  homes.reserve(Arcs * ArcMost);
-  for (std::size_t arc = 0; arc < Arcs; ++arc) {
+  RowIndices homes;
+  homes.reserve(ArcCount * MaxArcSize);
+  for (std::size_t arc = 0; arc < ArcCount; ++arc) {
     std::string const name = std::to_string(arc);
-    auto point =
-      static_cast<std::uint32_t>(gsRendezvousWeight(name, ask.Subject));
-    AddArc(fleet, ask, ring->second, gsRingAfter(ring->second, point), homes);
+    auto position =
+      static_cast<std::uint32_t>(gsRendezvousWeight(name, query.Subject));
+    AddArc(fleet, query, ring->second,
+           gsRingLowerBound(ring->second, position), homes);
   }
   return homes;
 }
 
-Members Draw(Members const& members, std::size_t count, gsRandom& random)
+/** Draws indices at random, with replacement. */
+RowIndices Draw(RowIndices const& members, std::size_t count, gsRandom& random)
 {
   std::uniform_int_distribution<std::size_t> any(0, members.size() - 1);
-  Members drawn;
+  RowIndices drawn;
   drawn.reserve(count);
   for (std::size_t i = 0; i < count; ++i) {
     drawn.push_back(members[any(random)]);
@@ -80,7 +92,8 @@
   return drawn;
 }
 
-void RemoveTwins(Members& rows)
+/** Sorts the rows and removes duplicates. */
+void RemoveDuplicates(RowIndices& rows)
 {
   std::sort(rows.begin(), rows.end());
   rows.erase(std::unique(rows.begin(), rows.end()), rows.end());
@@ -88,43 +101,44 @@
 
 } // namespace
 
-gsCandidates gsCandidatesFor(gsFleet const& fleet, gsCandidateAsk const& ask,
-                             gsRandom& random)
+gsCandidates gsSelectCandidates(gsFleet const& fleet,
+                                gsCandidateQuery const& query,
+                                gsRandom& random)
 {
   gsCandidates candidates;
-  Members const* members = MembersOf(fleet, ask);
+  RowIndices const* members = ServiceRows(fleet, query);
   if (members == nullptr || members->empty()) {
     return candidates;
   }
-  candidates.Members = members->size();
-  if (members->size() <= gsWeighedWhole) {
+  candidates.ServiceSize = members->size();
+  if (members->size() <= gsMaxFullyEvaluated) {
     candidates.Rows = *members;
-    candidates.Homes = *members;
+    candidates.HomeRows = *members;
     return candidates;
   }
-  candidates.Homes = HomesOf(fleet, ask);
-  RemoveTwins(candidates.Homes);
-  Members drawn = Draw(*members, Drawn, random);
+  candidates.HomeRows = HomeRowsOf(fleet, query);
+  RemoveDuplicates(candidates.HomeRows);
+  RowIndices drawn = Draw(*members, DrawCount, random);
   std::stable_partition(
     drawn.begin(), drawn.end(), [&fleet](std::size_t index) {
       return fleet.Rows[index].Listed.Hall == fleet.Settings.Hall;
     });
-  drawn.resize(DrawnWeighed);
-  candidates.Rows = candidates.Homes;
+  drawn.resize(EvaluatedDrawCount);
+  candidates.Rows = candidates.HomeRows;
   candidates.Rows.insert(candidates.Rows.end(), drawn.begin(), drawn.end());
-  RemoveTwins(candidates.Rows);
+  RemoveDuplicates(candidates.Rows);
   return candidates;
 }
 
-std::vector<std::size_t> gsFurtherCandidates(gsFleet const& fleet,
-                                             gsCandidateAsk const& ask,
-                                             gsRandom& random)
+std::vector<std::size_t> gsDrawFurtherCandidates(gsFleet const& fleet,
+                                                 gsCandidateQuery const& query,
+                                                 gsRandom& random)
 {
-  Members const* members = MembersOf(fleet, ask);
-  if (members == nullptr || members->size() <= gsWeighedWhole) {
+  RowIndices const* members = ServiceRows(fleet, query);
+  if (members == nullptr || members->size() <= gsMaxFullyEvaluated) {
     return {};
   }
-  Members drawn = Draw(*members, DrawnFurther, random);
-  RemoveTwins(drawn);
+  RowIndices drawn = Draw(*members, FurtherDrawCount, random);
+  RemoveDuplicates(drawn);
   return drawn;
 }
--- a/Source/Core/gsCandidates.h
+++ b/Source/Core/gsCandidates.h
@@ -1,11 +1,16 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * Which of a service's upstreams are weighed for one request. Where there are
- * few, all. Of many, those from which its subject's home is chosen, by a few
- * arcs of the ring and so the same on all hosts, and some at random, those of
- * the own hall first. So a request costs the same among 300 upstreams and
- * among 20,000.
+ * The upstreams of a service that are evaluated for one request. Up to
+ * gsMaxFullyEvaluated upstreams are all evaluated. Of more, the candidates are
+ * the upstreams on a few arcs of the hash ring, which depend only on the
+ * request's subject and are the same on all hosts, and some drawn at random,
+ * preferably of the own hall. Placement therefore takes the same time with 300
+ * upstreams and with 20,000.
+ *
+ * The subject of a request is a hash of the prompt part that it shares with
+ * related requests. The home of a subject is the upstream that all hosts
+ * prefer for it.
  */
 #pragma once
 
@@ -16,36 +21,43 @@
 
 #include "gsFleet.h"
 
-/** More than so many are not all weighed. Weighing one takes 0.3 us. */
-constexpr std::size_t gsWeighedWhole = 256;
+/** Maximum number of upstreams of a service that are all evaluated. Evaluating
+ * one takes 0.3 us. */
+constexpr std::size_t gsMaxFullyEvaluated = 256;
 
-/** Indices into gsFleet::Rows. */
+/** Upstreams to evaluate, as indices into gsFleet::Rows. */
 struct gsCandidates
 {
-  /** Of which the subject's home is one; all, or none without a subject. */
-  std::vector<std::size_t> Homes;
-  std::vector<std::size_t> Rows; ///< All that are weighed.
-  std::size_t Members = 0;       ///< Upstreams of the service.
+  /** Candidates for the subject's home. All upstreams of the service if they
+   * are all evaluated; otherwise empty without a subject. */
+  std::vector<std::size_t> HomeRows;
+  std::vector<std::size_t> Rows; ///< All candidates, including HomeRows.
+  std::size_t ServiceSize = 0;   ///< Number of upstreams of the service.
 };
 
-/** What chooses the candidates. */
-struct gsCandidateAsk
+/** Criteria for the selection of candidates. */
+struct gsCandidateQuery
 {
   std::string_view Service;
   std::uint64_t Subject = 0; ///< 0 for none.
-  /** Homes are only sought on this side of the border; absent for both. */
+  /** Group of engines in which the home has to be. */
   gsFleetGroup Group = gsFleetGroup::Any;
-  std::optional<gsEngineKey> Border;
+  /** Last engine of the group for long prompts in the service's order; empty
+   * if the engines are not divided into groups. */
+  std::optional<gsEngineKey> GroupBoundary;
 };
 
-gsCandidates gsCandidatesFor(gsFleet const& fleet, gsCandidateAsk const& ask,
-                             gsRandom& random);
+/** Selects the candidates for a request. */
+gsCandidates gsSelectCandidates(gsFleet const& fleet,
+                                gsCandidateQuery const& query,
+                                gsRandom& random);
 
 /**
- * More of them at random, for a request that none of the others can take: when
- * a half of the upstreams can take it, one in 2^512 goes away without. Empty
- * where all were weighed already.
+ * Draws more candidates at random, for a request that none of the first ones
+ * can take. If half of the upstreams can take it, the probability that the
+ * draw contains none of them is 2^-512. Empty if all upstreams have been
+ * evaluated already.
  */
-std::vector<std::size_t> gsFurtherCandidates(gsFleet const& fleet,
-                                             gsCandidateAsk const& ask,
-                                             gsRandom& random);
+std::vector<std::size_t> gsDrawFurtherCandidates(gsFleet const& fleet,
+                                                 gsCandidateQuery const& query,
+                                                 gsRandom& random);
--- a/Source/Core/gsColdStart.cxx
+++ b/Source/Core/gsColdStart.cxx
@@ -8,25 +8,25 @@
 namespace {
 
 /**
- * Share of the rate that all hosts use together: the rest is for the requests
- * that a host may send at both ends of a second, and for hosts that do not
- * know of each other.
+ * Share of the rate that all hosts combined use. The rest is a margin for
+ * hosts that send a request at both ends of a second, and for hosts that do
+ * not know of each other.
  */
-constexpr double ColdUse = 0.5;
+constexpr double MaxRateShare = 0.5;
 
 } // namespace
 
-gsColdShare gsShareOfCold(double perSecond, std::size_t hosts,
-                          std::string_view host, std::string_view upstream)
+gsColdShare gsColdShareOfHost(double perSecond, std::size_t hosts,
+                              std::string_view host, std::string_view upstream)
 {
   if (perSecond <= 0) {
     return { true, gsTime{} };
   }
-  double share =
-    perSecond * ColdUse / static_cast<double>(std::max<std::size_t>(1, hosts));
+  double share = perSecond * MaxRateShare /
+                 static_cast<double>(std::max<std::size_t>(1, hosts));
   if (share >= 1) {
     return { true, gsFromSeconds(1 / share) };
   }
-  bool sends = gsRendezvousDraw(host, gsHashText(upstream)) < share;
-  return { sends, gsSeconds(1) };
+  bool maySend = gsRendezvousFraction(host, gsHashText(upstream)) < share;
+  return { maySend, gsSeconds(1) };
 }
--- a/Source/Core/gsColdStart.h
+++ b/Source/Core/gsColdStart.h
@@ -1,16 +1,17 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * How many requests a host may send to an upstream that is cold: shortly after
- * its start it serves few a second and collapses well above that. The rate
- * holds over all hosts together, and they do not agree on it: each takes its
- * share of it, and where a share is below one request a second, a hash of host
- * and upstream says which hosts may send any.
+ * Rate limiting of requests to cold upstreams. Shortly after its start, an
+ * upstream serves only a few requests per second and overloads well above that
+ * rate. The rate limit applies to all hosts combined, but the hosts do not
+ * coordinate: each host uses an equal share of the rate. If a share is below
+ * one request per second, a hash of host and upstream determines which hosts
+ * may send requests at all.
  *
- * Of a rate of r a second all hosts together use half in the mean, and at most
- * the whole in any second where each has a request or more of it; where shares
- * are below one, chance decides how many hosts send. The rest is room for
- * that, and for hosts that do not know of each other.
+ * All hosts combined use half of the rate on average. If each share is at
+ * least one request per second, they use at most the whole rate in any second.
+ * With smaller shares, the number of sending hosts is random. The unused half
+ * is a margin for this variance, and for hosts that do not know of each other.
  */
 #pragma once
 
@@ -19,16 +20,17 @@
 
 #include "gsTypes.h"
 
-/** What one host may send to one cold upstream. */
+/** Rate limit of one host for one cold upstream. */
 struct gsColdShare
 {
-  bool Sends = false; ///< Whether it may send any request.
-  gsTime Gap{};       ///< Least time between two, if it may.
+  bool MaySend = false; ///< Whether the host may send any requests.
+  gsTime MinInterval{}; ///< Minimum interval between requests, if it may.
 };
 
 /**
- * Share of a rate, of requests a second of all hosts, for one of so many
- * hosts; a rate of zero sets no limit.
+ * The share of one host in a rate limit for all hosts combined, in requests
+ * per second. A rate of zero or below sets no limit.
  */
-gsColdShare gsShareOfCold(double perSecond, std::size_t hosts,
-                          std::string_view host, std::string_view upstream);
+gsColdShare gsColdShareOfHost(double perSecond, std::size_t hosts,
+                              std::string_view host,
+                              std::string_view upstream);
--- a/Source/Core/gsDispatch.cxx
+++ b/Source/Core/gsDispatch.cxx
@@ -12,41 +12,48 @@
 
 namespace {
 
-/** Share of the first-token target that may pass before the grant. */
-constexpr double WaitShare = 0.8;
-/** Waiting requests are looked through, so not at every tick. */
-constexpr gsTime ReservePeriod = gsMilliseconds(20);
-
-/** How full an upstream is, relative to its limit. */
-double Load(gsUpstreamRow const& row)
+/** Share of the target time to the first token that a request may wait for its
+ * grant and still be expected to meet the target. */
+constexpr double MaxWaitShare = 0.8;
+/** Minimum interval between runs of gsReserveAgedRequests, which scans the
+ * waiting requests and would be too expensive in every tick. */
+constexpr gsTime ReserveInterval = gsMilliseconds(20);
+
+/** Running requests of an upstream, relative to its limit. */
+double RelativeLoad(gsUpstreamRow const& row)
 {
-  return (row.Running + row.Reserved) / std::max(1.0, row.Limit);
+  return (row.Running + row.RunningReserved) / std::max(1.0, row.Limit);
 }
 
-gsUpstreamRow* LeastLoaded(gsPool& pool, std::string_view avoid,
-                           bool needsFreeSlot)
+/** The usable upstream with the lowest relative load; the avoided one only if
+ * there is no other. Null if there is none. */
+gsUpstreamRow* FindLeastLoaded(gsPool& pool, std::string_view avoid,
+                               bool needsFreeSlot)
 {
   gsUpstreamRow* best = nullptr;
   gsUpstreamRow* avoided = nullptr;
   for (gsUpstreamRow& row : pool.Upstreams) {
-    if (!gsUsable(row) || (needsFreeSlot && gsFreeSlots(row) == 0)) {
+    if (!gsIsUsable(row) || (needsFreeSlot && gsFreeSlots(row) == 0)) {
       continue;
     }
     if (row.Name == avoid) {
       avoided = &row;
       continue;
     }
-    if (best == nullptr || Load(row) < Load(*best)) {
+    if (best == nullptr || RelativeLoad(row) < RelativeLoad(*best)) {
       best = &row;
     }
   }
   return best != nullptr ? best : avoided;
 }
 
-/** The upstream that the shared context prefers, if it is not too full. */
-gsUpstreamRow* Preferred(gsPool& pool, gsAsk const& ask)
+/** The upstream that rendezvous hashing selects for the request's shared
+ * context. Null if it has no free slot, the request has to avoid it, or it is
+ * not idle and its load exceeds MaxAffinityLoad times the mean. */
+gsUpstreamRow* FindAffinityUpstream(gsPool& pool,
+                                    gsGrantRequest const& request)
 {
-  if (!pool.Settings.Affinity || ask.Affinity == 0) {
+  if (!pool.Settings.UseAffinity || request.AffinityHash == 0) {
     return nullptr;
   }
   gsUpstreamRow* best = nullptr;
@@ -54,62 +61,67 @@
   double running = 0;
   double usable = 0;
   for (gsUpstreamRow& row : pool.Upstreams) {
-    if (!gsUsable(row)) {
+    if (!gsIsUsable(row)) {
       continue;
     }
-    running += Load(row);
+    running += RelativeLoad(row);
     ++usable;
-    std::uint64_t weight = gsRendezvousWeight(row.Name, ask.Affinity);
+    std::uint64_t weight = gsRendezvousWeight(row.Name, request.AffinityHash);
     if (best == nullptr || weight > bestWeight) {
       best = &row;
       bestWeight = weight;
     }
   }
-  if (best == nullptr || best->Name == ask.Avoid || gsFreeSlots(*best) == 0) {
+  if (best == nullptr || best->Name == request.AvoidUpstream ||
+      gsFreeSlots(*best) == 0) {
     return nullptr;
   }
-  double bound = pool.Settings.AffinityLoad * running / usable;
-  bool fits = Load(*best) <= bound || best->Running == 0;
+  double bound = pool.Settings.MaxAffinityLoad * running / usable;
+  bool fits = RelativeLoad(*best) <= bound || best->Running == 0;
   return fits ? best : nullptr;
 }
 
-std::string Candidates(gsPool const& pool)
+/** Formats the usable upstreams for the log, as name:running/limit. */
+std::string FormatCandidates(gsPool const& pool)
 {
   std::string text;
   for (gsUpstreamRow const& row : pool.Upstreams) {
-    if (!gsUsable(row)) {
+    if (!gsIsUsable(row)) {
       continue;
     }
     if (!text.empty()) {
       text += ',';
     }
-    text += row.Name + ':' + std::to_string(row.Running + row.Reserved) + '/' +
+    text += row.Name + ':' +
+            std::to_string(row.Running + row.RunningReserved) + '/' +
             std::to_string(static_cast<std::uint32_t>(row.Limit));
   }
   return text;
 }
 
-void Grant(gsPool& pool, gsRequestId const& id, gsUpstreamRow& upstream,
-           bool reserved, char const* cause, gsTime now, gsPoolOutput& out)
+/** Grants a slot of an upstream to a waiting request. */
+void GrantSlot(gsPool& pool, gsRequestId const& id, gsUpstreamRow& upstream,
+               bool reserved, char const* cause, gsTime now, gsPoolOutput& out)
 {
   gsWaitingRow const& row = pool.Waiting.at(id);
-  gsAsk const& ask = row.Ask;
-  gsTierQueue& tier = gsTierOf(pool, ask.Tier);
-  gsOrganisationQueue& queue = tier.Organisations[ask.Organisation];
+  gsGrantRequest const& request = row.Request;
+  gsTierQueue& tier = gsTierQueueOf(pool, request.Tier);
+  gsOrganisationQueue& queue = tier.Organisations[request.Organisation];
 
   gsRunningRow running;
   running.Upstream = upstream.Name;
-  running.Organisation = ask.Organisation;
-  running.Template = ask.Template;
-  running.Tier = ask.Tier;
-  running.Weight = ask.Weight;
-  running.Estimate = gsEstimateTokens(pool.Estimates, ask.Organisation,
-                                      ask.Template, ask.PromptTokens);
-  running.Reserved = reserved;
+  running.Organisation = request.Organisation;
+  running.Template = request.Template;
+  running.Tier = request.Tier;
+  running.Weight = request.Weight;
+  running.EstimatedTokens =
+    gsEstimateTokens(pool.Estimates, request.Organisation, request.Template,
+                     request.PromptTokens);
+  running.OnReservedSlot = reserved;
   running.Link = row.Link;
-  running.Started = now;
-  running.FirstTokenTarget = ask.FirstToken;
-  running.GapTarget = ask.TokenGap;
+  running.StartedAt = now;
+  running.FirstTokenTarget = request.FirstTokenTarget;
+  running.TokenIntervalTarget = request.TokenIntervalTarget;
 
   gsGrant grant;
   grant.Id = id;
@@ -118,30 +130,32 @@
   grant.Upstream = upstream.Name;
   grant.Address = upstream.Address;
   grant.Incarnation = upstream.Incarnation;
-  grant.StartWithin = pool.Settings.StartWithin;
-  grant.Tier = ask.Tier;
-  grant.Organisation = ask.Organisation;
-  grant.Waited = now - row.Arrived;
-  grant.Reserved = reserved;
-  grant.Candidates = Candidates(pool);
+  grant.StartTimeout = pool.Settings.StartTimeout;
+  grant.Tier = request.Tier;
+  grant.Organisation = request.Organisation;
+  grant.WaitTime = now - row.ArrivedAt;
+  grant.OnReservedSlot = reserved;
+  grant.Candidates = FormatCandidates(pool);
   grant.Cause = cause;
 
   if (reserved) {
-    ++upstream.Reserved;
+    ++upstream.RunningReserved;
   } else {
     ++upstream.Running;
-    ++tier.Granted;
+    ++tier.SharedGrants;
     ++tier.Running;
-    tier.Clock = std::max(tier.Clock, queue.Service);
+    tier.VirtualTime = std::max(tier.VirtualTime, queue.WeightedService);
   }
-  queue.Service += running.Estimate / std::max(running.Weight, 1e-6);
+  queue.WeightedService +=
+    running.EstimatedTokens / std::max(running.Weight, 1e-6);
   pool.Running[id] = std::move(running);
   gsRemoveWaiting(pool, id);
   out.Grants.push_back(std::move(grant));
 }
 
-/** The first of a list that still waits; what went is dropped. */
-gsWaitingRow* FirstIn(gsPool& pool, std::deque<gsRequestId>& ids)
+/** The first request of a list that still waits, or null. Removes the ids in
+ * front of it. */
+gsWaitingRow* FirstWaiting(gsPool& pool, std::deque<gsRequestId>& ids)
 {
   while (!ids.empty()) {
     auto row = pool.Waiting.find(ids.front());
@@ -153,85 +167,90 @@
   return nullptr;
 }
 
-/** Whether the first token can no longer come within its target. */
+/** Whether the request is expected to miss its target for the first token. */
 bool IsLate(gsWaitingRow const& row, gsTime now)
 {
-  return gsToSeconds(now - row.Arrived) >
-         WaitShare * gsToSeconds(row.Ask.FirstToken);
+  return gsToSeconds(now - row.ArrivedAt) >
+         MaxWaitShare * gsToSeconds(row.Request.FirstTokenTarget);
 }
 
 /**
- * The organisation's next request. Under overload first in, first out would
- * serve every request late; so those that can still be in target come first.
+ * The organisation's next request. Those that can still meet their target come
+ * first, because under overload a plain FIFO queue would serve every request
+ * late.
  */
-std::optional<gsRequestId> FrontOf(gsPool& pool, gsOrganisationQueue& queue,
-                                   gsTime now)
+std::optional<gsRequestId> NextOfOrganisation(gsPool& pool,
+                                              gsOrganisationQueue& queue,
+                                              gsTime now)
 {
-  gsWaitingRow* first = FirstIn(pool, queue.Ids);
-  while (first != nullptr && pool.Settings.InTargetFirst &&
+  gsWaitingRow* first = FirstWaiting(pool, queue.InTargetIds);
+  while (first != nullptr && pool.Settings.ServeInTargetFirst &&
          IsLate(*first, now)) {
-    queue.Late.push_back(first->Ask.Id);
-    queue.Ids.pop_front();
-    first = FirstIn(pool, queue.Ids);
+    queue.LateIds.push_back(first->Request.Id);
+    queue.InTargetIds.pop_front();
+    first = FirstWaiting(pool, queue.InTargetIds);
   }
   if (first == nullptr) {
-    first = FirstIn(pool, queue.Late);
+    first = FirstWaiting(pool, queue.LateIds);
   }
   if (first == nullptr) {
     return std::nullopt;
   }
-  return first->Ask.Id;
+  return first->Request.Id;
 }
 
-/** The tier's oldest waiting request without a reserved turn. */
+/** The tier's oldest waiting request without a reserved turn; null if there is
+ * none. */
 gsWaitingRow* OldestUnreserved(gsPool& pool, gsTierQueue& tier)
 {
   gsWaitingRow* oldest = nullptr;
   for (auto& [name, queue] : tier.Organisations) {
-    for (auto const* ids : { &queue.Late, &queue.Ids }) {
+    for (auto const* ids : { &queue.LateIds, &queue.InTargetIds }) {
       for (gsRequestId const& id : *ids) {
         auto row = pool.Waiting.find(id);
-        if (row == pool.Waiting.end() || row->second.Reserved) {
+        if (row == pool.Waiting.end() || row->second.HasReservedTurn) {
           continue;
         }
-        if (oldest == nullptr || row->second.Arrived < oldest->Arrived) {
+        if (oldest == nullptr || row->second.ArrivedAt < oldest->ArrivedAt) {
           oldest = &row->second;
         }
-        break; // Both lists are in the order of arrival.
+        break; // The list is in order of arrival; the others are newer.
       }
     }
   }
   return oldest;
 }
 
-/** The tier's oldest request with a reserved turn. */
+/** The tier's oldest request with a reserved turn; empty if there is none. */
 std::optional<gsRequestId> OldestReserved(gsPool const& pool,
                                           gsTierQueue const& tier)
 {
   auto arrived = [&pool](gsRequestId const& id) {
-    return pool.Waiting.at(id).Arrived;
+    return pool.Waiting.at(id).ArrivedAt;
   };
   auto oldest =
-    std::min_element(tier.Reserved.begin(), tier.Reserved.end(),
+    std::min_element(tier.ReservedIds.begin(), tier.ReservedIds.end(),
                      [&](gsRequestId const& a, gsRequestId const& b) {
                        return arrived(a) < arrived(b);
                      });
-  if (oldest == tier.Reserved.end()) {
+  if (oldest == tier.ReservedIds.end()) {
     return std::nullopt;
   }
   return *oldest;
 }
 
-std::uint32_t ReservedRunning(gsPool const& pool)
+/** Number of requests on reserved slots. */
+std::uint32_t CountReservedInUse(gsPool const& pool)
 {
   std::uint32_t running = 0;
   for (gsUpstreamRow const& row : pool.Upstreams) {
-    running += row.Reserved;
+    running += row.RunningReserved;
   }
   return running;
 }
 
-std::uint32_t FreeSlots(gsPool const& pool)
+/** Number of free shared slots of all upstreams. */
+std::uint32_t CountFreeSlots(gsPool const& pool)
 {
   std::uint32_t slots = 0;
   for (gsUpstreamRow const& row : pool.Upstreams) {
@@ -241,50 +260,55 @@
 }
 
 /**
- * Slots that this tier must leave free, so that the tiers above it find room
- * when their demand returns to its recent peak. Nothing that runs is
- * preempted, so that without it they would wait for long answers to end.
+ * Number of slots that a tier has to leave free for the tiers above it, in
+ * case their demand returns to its recent peak. Running requests are not
+ * preempted, so without this headroom the higher tiers would wait for long
+ * answers to end.
  */
-double Headroom(gsPool const& pool, std::uint32_t rank)
+double RequiredHeadroom(gsPool const& pool, std::uint32_t rank)
 {
-  double wanted = 0;
+  double headroom = 0;
   for (std::size_t i = 0; i < rank && i < pool.Tiers.size(); ++i) {
     gsTierQueue const& tier = pool.Tiers[i];
-    wanted += std::max(0.0, tier.Peak - tier.Running - tier.Waiting);
+    headroom += std::max(0.0, tier.PeakDemand - tier.Running - tier.Waiting);
   }
-  double most = pool.Settings.HeadroomMost * gsTotalLimit(pool);
-  return std::floor(std::min(wanted, most));
+  double limit = pool.Settings.MaxHeadroomShare * gsTotalLimit(pool);
+  return std::floor(std::min(headroom, limit));
 }
 
+/** Updates the tiers' peak demand, with exponential decay. */
 void UpdatePeaks(gsPool& pool, gsTime now)
 {
-  double passed = gsToSeconds(now - pool.LastPeaks);
-  double kept = std::exp(-passed / gsToSeconds(pool.Settings.HeadroomMemory));
-  pool.LastPeaks = now;
+  double elapsed = gsToSeconds(now - pool.PeaksUpdatedAt);
+  double decay =
+    std::exp(-elapsed / gsToSeconds(pool.Settings.HeadroomDecayTime));
+  pool.PeaksUpdatedAt = now;
   for (gsTierQueue& tier : pool.Tiers) {
     double demand = tier.Running + tier.Waiting;
-    tier.Peak = std::max(demand, tier.Peak * kept);
+    tier.PeakDemand = std::max(demand, tier.PeakDemand * decay);
   }
 }
 
-/** Takes one off a count that must not go below zero. */
-void CountDown(std::uint32_t& count)
+/** Decrements a counter unless it is zero. */
+void DecrementIfPositive(std::uint32_t& count)
 {
   count -= count > 0 ? 1 : 0;
 }
 
 /** Frees the slot of a running request. */
-void FreeSlot(gsPool& pool, gsRunningRow const& running)
+void ReleaseSlot(gsPool& pool, gsRunningRow const& running)
 {
-  if (!running.Reserved) {
-    CountDown(gsTierOf(pool, running.Tier).Running);
+  if (!running.OnReservedSlot) {
+    DecrementIfPositive(gsTierQueueOf(pool, running.Tier).Running);
   }
   if (gsUpstreamRow* upstream = gsFindUpstream(pool, running.Upstream)) {
-    CountDown(running.Reserved ? upstream->Reserved : upstream->Running);
+    DecrementIfPositive(running.OnReservedSlot ? upstream->RunningReserved
+                                               : upstream->Running);
   }
 }
 
-bool HigherWaiting(gsPool const& pool, std::size_t rank)
+/** Whether requests wait in a tier above the given rank. */
+bool HasHigherTierWaiting(gsPool const& pool, std::size_t rank)
 {
   for (std::size_t i = 0; i < rank; ++i) {
     if (pool.Tiers[i].Waiting > 0) {
@@ -305,12 +329,12 @@
     gsOrganisationQueue* next = nullptr;
     for (auto& [name, queue] : tier.Organisations) {
       if (queue.Waiting > 0 &&
-          (next == nullptr || queue.Service < next->Service)) {
+          (next == nullptr || queue.WeightedService < next->WeightedService)) {
         next = &queue;
       }
     }
     if (next != nullptr) {
-      return FrontOf(pool, *next, now);
+      return NextOfOrganisation(pool, *next, now);
     }
   }
   return std::nullopt;
@@ -320,59 +344,59 @@
 {
   UpdatePeaks(pool, now);
   while (std::optional<gsRequestId> id = gsNextWaiting(pool, now)) {
-    gsAsk const& ask = pool.Waiting.at(*id).Ask;
-    if (FreeSlots(pool) <= Headroom(pool, ask.Tier)) {
+    gsGrantRequest const& request = pool.Waiting.at(*id).Request;
+    if (CountFreeSlots(pool) <= RequiredHeadroom(pool, request.Tier)) {
       break;
     }
     char const* cause = "affinity";
-    gsUpstreamRow* upstream = Preferred(pool, ask);
+    gsUpstreamRow* upstream = FindAffinityUpstream(pool, request);
     if (upstream == nullptr) {
-      upstream = LeastLoaded(pool, ask.Avoid, true);
+      upstream = FindLeastLoaded(pool, request.AvoidUpstream, true);
       cause = "least_loaded";
     }
     if (upstream == nullptr) {
       break;
     }
-    Grant(pool, *id, *upstream, false, cause, now, out);
+    GrantSlot(pool, *id, *upstream, false, cause, now, out);
   }
   if (pool.Waiting.empty()) {
     return;
   }
   for (gsUpstreamRow& row : pool.Upstreams) {
-    row.Saturated = row.Saturated || gsFreeSlots(row) == 0;
+    row.WasSaturated = row.WasSaturated || gsFreeSlots(row) == 0;
   }
 }
 
-void gsReserveAged(gsPool& pool, gsTime now)
+void gsReserveAgedRequests(gsPool& pool, gsTime now)
 {
-  if (now - pool.LastReserve < ReservePeriod) {
+  if (now - pool.LastReserveAt < ReserveInterval) {
     return;
   }
-  pool.LastReserve = now;
+  pool.LastReserveAt = now;
   for (std::size_t rank = 1; rank < pool.Tiers.size(); ++rank) {
     gsTierQueue& tier = pool.Tiers[rank];
-    while (tier.Reserved.size() < pool.Settings.ReservedPerTier &&
-           gsSharedWaiting(tier) > 0 && HigherWaiting(pool, rank)) {
+    while (tier.ReservedIds.size() < pool.Settings.MaxReservedTurns &&
+           gsSharedWaiting(tier) > 0 && HasHigherTierWaiting(pool, rank)) {
       gsWaitingRow* oldest = OldestUnreserved(pool, tier);
-      if (oldest == nullptr || now - oldest->Arrived < tier.AgeLimit) {
+      if (oldest == nullptr || now - oldest->ArrivedAt < tier.AgeLimit) {
         break;
       }
-      oldest->Reserved = true;
-      tier.Reserved.push_back(oldest->Ask.Id);
+      oldest->HasReservedTurn = true;
+      tier.ReservedIds.push_back(oldest->Request.Id);
     }
   }
 }
 
 std::uint32_t gsReservedSlots(gsPool const& pool)
 {
-  double slots = pool.Settings.ReservedShare * gsTotalLimit(pool);
+  double slots = pool.Settings.ReservedSlotShare * gsTotalLimit(pool);
   return std::max(1U, static_cast<std::uint32_t>(slots));
 }
 
 void gsDispatchReserved(gsPool& pool, gsTime now, gsPoolOutput& out)
 {
   auto tiers = static_cast<std::uint32_t>(pool.Tiers.size());
-  std::uint32_t running = ReservedRunning(pool);
+  std::uint32_t running = CountReservedInUse(pool);
   std::uint32_t slots = gsReservedSlots(pool);
   std::uint32_t idle = 0;
   while (running < slots && idle < tiers) {
@@ -383,18 +407,20 @@
       continue;
     }
     gsUpstreamRow* upstream =
-      LeastLoaded(pool, pool.Waiting.at(*id).Ask.Avoid, false);
+      FindLeastLoaded(pool, pool.Waiting.at(*id).Request.AvoidUpstream, false);
     if (upstream == nullptr) {
       return;
     }
     idle = 0;
     ++running;
-    Grant(pool, *id, *upstream, true, "reserved", now, out);
+    GrantSlot(pool, *id, *upstream, true, "reserved", now, out);
   }
 }
 
-void gsRelease(gsPool& pool, gsRequestId const& id, gsOutcome outcome,
-               gsMeasured const& measured, gsTime now, gsPoolOutput& out)
+void gsReleaseGrant(gsPool& pool, gsRequestId const& id,
+                    gsGrantOutcome outcome,
+                    gsGrantMeasurements const& measured, gsTime now,
+                    gsPoolOutput& out)
 {
   auto found = pool.Running.find(id);
   if (found == pool.Running.end()) {
@@ -402,28 +428,29 @@
   }
   gsRunningRow running = std::move(found->second);
   pool.Running.erase(found);
-  FreeSlot(pool, running);
-  double actual =
-    outcome == gsOutcome::Unused ? 0 : static_cast<double>(measured.Tokens);
+  ReleaseSlot(pool, running);
+  double actual = outcome == gsGrantOutcome::Unused
+                    ? 0
+                    : static_cast<double>(measured.Tokens);
   gsOrganisationQueue& queue =
-    gsTierOf(pool, running.Tier).Organisations[running.Organisation];
-  queue.Service +=
-    (actual - running.Estimate) / std::max(running.Weight, 1e-6);
-  if (outcome == gsOutcome::Whole) {
-    gsLearn(pool.Estimates, running.Organisation, running.Template, actual,
-            now - running.Started);
+    gsTierQueueOf(pool, running.Tier).Organisations[running.Organisation];
+  queue.WeightedService +=
+    (actual - running.EstimatedTokens) / std::max(running.Weight, 1e-6);
+  if (outcome == gsGrantOutcome::Completed) {
+    gsUpdateEstimates(pool.Estimates, running.Organisation, running.Template,
+                      actual, now - running.StartedAt);
   }
   if (gsUpstreamRow* upstream = gsFindUpstream(pool, running.Upstream)) {
-    gsJudgeOutcome(pool, *upstream, outcome, now, out);
+    gsUpdateHealth(pool, *upstream, outcome, now, out);
   }
 }
 
-void gsAdopt(gsPool& pool, gsAsk const& ask, std::string_view upstream,
-             std::uint64_t link, gsTime now)
+void gsAdoptRunning(gsPool& pool, gsGrantRequest const& request,
+                    std::string_view upstream, std::uint64_t link, gsTime now)
 {
-  auto known = pool.Running.find(ask.Id);
-  if (known != pool.Running.end()) {
-    known->second.Link = link;
+  auto existing = pool.Running.find(request.Id);
+  if (existing != pool.Running.end()) {
+    existing->second.Link = link;
     return;
   }
   gsUpstreamRow* row = gsFindUpstream(pool, upstream);
@@ -432,27 +459,27 @@
   }
   gsRunningRow running;
   running.Upstream = row->Name;
-  running.Organisation = ask.Organisation;
-  running.Template = ask.Template;
-  running.Tier = ask.Tier;
-  running.Weight = ask.Weight;
+  running.Organisation = request.Organisation;
+  running.Template = request.Template;
+  running.Tier = request.Tier;
+  running.Weight = request.Weight;
   running.Link = link;
-  running.Started = now;
-  running.FirstTokenTarget = ask.FirstToken;
-  running.GapTarget = ask.TokenGap;
-  pool.Running[ask.Id] = std::move(running);
+  running.StartedAt = now;
+  running.FirstTokenTarget = request.FirstTokenTarget;
+  running.TokenIntervalTarget = request.TokenIntervalTarget;
+  pool.Running[request.Id] = std::move(running);
   ++row->Running;
-  ++gsTierOf(pool, ask.Tier).Running;
+  ++gsTierQueueOf(pool, request.Tier).Running;
 }
 
-void gsForgetLink(gsPool& pool, std::uint64_t link)
+void gsReleaseLink(gsPool& pool, std::uint64_t link)
 {
   for (auto row = pool.Running.begin(); row != pool.Running.end();) {
     if (row->second.Link != link) {
       ++row;
       continue;
     }
-    FreeSlot(pool, row->second);
+    ReleaseSlot(pool, row->second);
     row = pool.Running.erase(row);
   }
 }
--- a/Source/Core/gsDispatch.h
+++ b/Source/Core/gsDispatch.h
@@ -1,10 +1,14 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * Systems that grant upstreams to waiting requests, and what ends a grant.
- * Order: the highest tier first; within it the organisation with the least
- * weighted service; within that the oldest request that can still be in
- * target, then the oldest of the others.
+ * Systems that grant upstreams to waiting requests, and the end of a grant.
+ *
+ * Requests are served in this order: the highest tier first; within a tier the
+ * organisation with the least weighted service; within an organisation the
+ * oldest request that can still meet its target, then the oldest of the
+ * others. Shared slots are bounded by the limits of the upstreams. Reserved
+ * slots exist in addition to them, for requests of lower tiers that have
+ * waited for longer than the tier's AgeLimit.
  */
 #pragma once
 
@@ -12,31 +16,41 @@
 
 #include "gsPool.h"
 
-/** The request that is next for a shared slot. */
+/** The next request for a shared slot; empty if none waits. */
 std::optional<gsRequestId> gsNextWaiting(gsPool& pool, gsTime now);
 
-/** Grants shared slots until there is no slot or no request left. */
+/** Grants shared slots until no request waits or no slot is available to the
+ * next request's tier. */
 void gsDispatchShared(gsPool& pool, gsTime now, gsPoolOutput& out);
 
-/** Gives the oldest of each tier that waited too long a reserved turn. */
-void gsReserveAged(gsPool& pool, gsTime now);
+/**
+ * Assigns reserved turns to the oldest requests of each tier that have waited
+ * for AgeLimit or longer while requests of a higher tier wait. A tier has at
+ * most MaxReservedTurns of them.
+ */
+void gsReserveAgedRequests(gsPool& pool, gsTime now);
 
 /**
- * Grants reserved slots, which exist beside the limits and so take nothing
- * from higher tiers, to reserved requests, the tiers in turn.
+ * Grants reserved slots to requests with a reserved turn, round-robin over the
+ * tiers. These slots are in addition to the limits, so that higher tiers lose
+ * no capacity.
  */
 void gsDispatchReserved(gsPool& pool, gsTime now, gsPoolOutput& out);
 
-/** Reserved slots of the pool. */
+/** Number of reserved slots of the pool. */
 std::uint32_t gsReservedSlots(gsPool const& pool);
 
-/** Ends a grant, frees its slot and learns from it. */
-void gsRelease(gsPool& pool, gsRequestId const& id, gsOutcome outcome,
-               gsMeasured const& measured, gsTime now, gsPoolOutput& out);
+/** Ends a grant: frees its slot, corrects the organisation's service to the
+ * actual tokens, and updates the estimates and the upstream's health. */
+void gsReleaseGrant(gsPool& pool, gsRequestId const& id,
+                    gsGrantOutcome outcome,
+                    gsGrantMeasurements const& measured, gsTime now,
+                    gsPoolOutput& out);
 
-/** Takes over a request that runs under another dispatcher's grant. */
-void gsAdopt(gsPool& pool, gsAsk const& ask, std::string_view upstream,
-             std::uint64_t link, gsTime now);
+/** Registers a request that runs under another dispatcher's grant. */
+void gsAdoptRunning(gsPool& pool, gsGrantRequest const& request,
+                    std::string_view upstream, std::uint64_t link, gsTime now);
 
-/** Forgets the running requests of a link whose host is gone for good. */
-void gsForgetLink(gsPool& pool, std::uint64_t link);
+/** Removes the running requests of a link whose host has not reconnected, and
+ * frees their slots. */
+void gsReleaseLink(gsPool& pool, std::uint64_t link);
--- a/Source/Core/gsDocument.cxx
+++ b/Source/Core/gsDocument.cxx
@@ -12,41 +12,43 @@
   return std::nullopt;
 }
 
-gsResult<gsClass> gsResolveClass(gsDocument const& document,
-                                 gsOrganisation const& organisation,
-                                 std::string_view templateName)
+gsResult<gsRequestClass> gsResolveClass(gsDocument const& document,
+                                        gsOrganisation const& organisation,
+                                        std::string_view templateName)
 {
-  gsTemplate const* found = gsFindByName(document.Templates, templateName);
-  if (found == nullptr) {
+  gsTemplate const* base = gsFindByName(document.Templates, templateName);
+  if (base == nullptr) {
     return gsError{ "unknown_template",
                     "There is no template named '" +
                       std::string(templateName) + "'.",
                     "resolve", organisation.Name };
   }
-  gsOverride changed;
-  auto override = organisation.Classes.find(found->Name);
+  gsOverride overrides;
+  auto override = organisation.Classes.find(base->Name);
   if (override != organisation.Classes.end()) {
-    changed = override->second;
+    overrides = override->second;
   }
-  std::string const& tier = changed.Tier ? *changed.Tier : found->Tier;
+  std::string const& tier = overrides.Tier ? *overrides.Tier : base->Tier;
   std::optional<std::uint32_t> rank = gsTierRank(document, tier);
   if (!rank) {
     return gsError{ "unknown_tier", "There is no tier named '" + tier + "'.",
                     "resolve", organisation.Name };
   }
-  gsClass result;
-  result.Template = found->Name;
-  result.Service = found->Service;
-  result.Tier = *rank;
-  result.FirstToken = changed.FirstToken.value_or(found->FirstToken);
-  result.TokenGap = changed.TokenGap.value_or(found->TokenGap);
-  result.MaxWait = changed.MaxWait.value_or(found->MaxWait);
-  result.Repeatable = changed.Repeatable.value_or(found->Repeatable);
-  result.MaxTokens = found->MaxTokens;
+  gsRequestClass result;
+  result.Template = base->Name;
+  result.Service = base->Service;
+  result.TierRank = *rank;
+  result.FirstTokenTarget =
+    overrides.FirstTokenTarget.value_or(base->FirstTokenTarget);
+  result.TokenIntervalTarget =
+    overrides.TokenIntervalTarget.value_or(base->TokenIntervalTarget);
+  result.MaxWait = overrides.MaxWait.value_or(base->MaxWait);
+  result.Repeatable = overrides.Repeatable.value_or(base->Repeatable);
+  result.MaxTokens = base->MaxTokens;
   return result;
 }
 
-char const* gsStateWord(gsUpstreamState state)
+char const* gsUpstreamStateName(gsUpstreamState state)
 {
   switch (state) {
     case gsUpstreamState::Active:
@@ -59,7 +61,7 @@
   return "stopped";
 }
 
-char const* gsKindWord(gsUpstreamKind kind)
+char const* gsUpstreamKindName(gsUpstreamKind kind)
 {
   return kind == gsUpstreamKind::Engine ? "engine" : "plain";
 }
