--- a/Source/Core/gsDocument.h
+++ b/Source/Core/gsDocument.h
@@ -2,8 +2,9 @@
 /**
  * \file
  * The configuration document: tiers, templates, organisations and upstreams.
- * It is one versioned value; every object in it carries the revision (the
- * document version) at which it last changed.
+ * The document is versioned as a whole. Each template, organisation and
+ * upstream stores its revision, which is the document version at which it last
+ * changed.
  */
 #pragma once
 
@@ -20,60 +21,66 @@
 struct gsTier
 {
   std::string Name;
-  /** Waiting longer than this entitles the oldest to a reserved slot. */
+  /** Waiting time after which the oldest request of the tier may use a
+   * reserved slot. */
   gsTime AgeLimit = gsSeconds(5);
 };
 
-/** A class of work. */
+/** Default parameters of a class of requests. */
 struct gsTemplate
 {
   std::string Name;
   std::string Service; ///< Name of the model or plain service.
   std::string Tier;
-  gsTime FirstToken = gsMilliseconds(490); ///< Target from arrival.
-  gsTime TokenGap = gsMilliseconds(70);    ///< Target between tokens.
-  gsTime MaxWait = gsSeconds(30); ///< Longest wait before it is given up.
-  bool Repeatable = true;
-  std::uint32_t MaxTokens = 1024;
+  gsTime FirstTokenTarget =
+    gsMilliseconds(490); ///< Target, measured from arrival.
+  gsTime TokenIntervalTarget =
+    gsMilliseconds(70); ///< Target interval between tokens.
+  /** Maximum total waiting time, after which the request is rejected. */
+  gsTime MaxWait = gsSeconds(30);
+  bool Repeatable = true; ///< An attempt may be retried after it was sent.
+  std::uint32_t MaxTokens = 1024; ///< Upper bound of a request's max_tokens.
   std::uint64_t Revision = 0;
 };
 
-/** What an organisation sets differently for one template. */
+/** An organisation's overrides of one template; empty members keep the
+ * template's value. */
 struct gsOverride
 {
   std::optional<std::string> Tier;
-  std::optional<gsTime> FirstToken;
-  std::optional<gsTime> TokenGap;
+  std::optional<gsTime> FirstTokenTarget;
+  std::optional<gsTime> TokenIntervalTarget;
   std::optional<gsTime> MaxWait;
   std::optional<bool> Repeatable;
 };
 
-/** A customer. */
+/** A customer, identified by its API keys. */
 struct gsOrganisation
 {
   std::string Name;
-  std::vector<std::string> KeyHashes; ///< SHA-256, lower-case hex.
-  double Share = 1.0;                 ///< Weight within a tier.
-  std::map<std::string, gsOverride> Classes;
+  std::vector<std::string> KeyHashes;        ///< SHA-256, lower-case hex.
+  double Share = 1.0;                        ///< Weight within a tier.
+  std::map<std::string, gsOverride> Classes; ///< By template name.
   std::uint64_t Revision = 0;
 };
 
-/** Where an upstream stands. Only ever moves down this list. */
+/** Lifecycle state of an upstream. Transitions only go towards the later
+ * enumerators. */
 enum class gsUpstreamState
 {
   Active,
-  Leaving, ///< Gets no new work; what runs there finishes.
-  Stopped  ///< As Leaving, and is not polled any more.
+  Leaving, ///< Gets no new requests; open requests finish.
+  Stopped  ///< Like Leaving, and no longer polled.
 };
 
-/** What kind of work an upstream does. */
+/** Type of server that an upstream runs. */
 enum class gsUpstreamKind
 {
   Engine, ///< A model engine with continuous batching.
   Plain   ///< A plain HTTP service.
 };
 
-/** A back end. */
+/** A backend server that processes requests. */
 struct gsUpstream
 {
   std::string Name;
@@ -82,47 +89,51 @@
   std::string Address; ///< IP:port.
   gsUpstreamKind Kind = gsUpstreamKind::Engine;
   gsUpstreamState State = gsUpstreamState::Active;
-  std::uint32_t Slots = 8;     ///< Concurrent requests to begin with.
-  std::uint32_t MaxSlots = 64; ///< The adaptive limit stays below this.
+  std::uint32_t Slots = 8;     ///< Initial concurrency limit.
+  std::uint32_t MaxSlots = 64; ///< Upper bound of the adaptive limit.
   std::uint64_t Revision = 0;
 };
 
-/** A change that went into the document, kept to settle lost answers. */
+/** An applied change. It is retained so that a client that lost the response
+ * can find out whether its change was applied. */
 struct gsChange
 {
-  std::string Id;
-  std::uint64_t Version = 0;
-  std::string Summary;
+  std::string Id;            ///< Chosen by the client; unique.
+  std::uint64_t Version = 0; ///< Document version that it produced.
+  std::string Summary;       ///< Kind of the change and name of the object.
 };
 
-/** The whole configuration. Version 0 is the empty one before any change. */
+/** The whole configuration. Version 0 is the empty document before the first
+ * change. */
 struct gsDocument
 {
   std::uint64_t Version = 0;
-  std::vector<gsTier> Tiers; ///< Ordered, the highest first.
+  std::vector<gsTier> Tiers; ///< Ordered by rank, highest first.
   std::vector<gsTemplate> Templates;
   std::vector<gsOrganisation> Organisations;
   std::vector<gsUpstream> Upstreams;
-  std::vector<gsChange> Changes; ///< The newest last; bounded.
+  std::vector<gsChange> Changes; ///< Newest last; see gsMaxRetainedChanges.
 };
 
-/** Most changes that a document remembers. */
-constexpr std::size_t gsMaxRememberedChanges = 64;
+/** Maximum number of changes in gsDocument::Changes. The oldest is removed
+ * first. */
+constexpr std::size_t gsMaxRetainedChanges = 64;
 
-/** The parameters of one request's class, overrides applied. */
-struct gsClass
+/** Parameters of a request, with the overrides of its organisation applied. */
+struct gsRequestClass
 {
   std::string Template;
   std::string Service;
-  std::uint32_t Tier = 0; ///< Rank.
-  gsTime FirstToken{};
-  gsTime TokenGap{};
+  std::uint32_t TierRank = 0; ///< Rank; 0 is the highest.
+  gsTime FirstTokenTarget{};
+  gsTime TokenIntervalTarget{};
   gsTime MaxWait{};
   bool Repeatable = true;
   std::uint32_t MaxTokens = 0;
 };
 
-/** Finds an entity by its name in one of the document's tables. */
+/** Finds a row by name in a table of the document. \return Null if there is
+ * none. */
 template<typename Table>
 auto* gsFindByName(Table& table, std::string_view name)
 {
@@ -134,17 +145,18 @@
   return static_cast<decltype(&*table.begin())>(nullptr);
 }
 
-/** Rank of a tier, or nothing when the document does not have it. */
+/** Rank of a tier; empty if the document does not define it. */
 std::optional<std::uint32_t> gsTierRank(gsDocument const& document,
                                         std::string_view tier);
 
-/** Joins a template and an organisation's overrides of it. */
-gsResult<gsClass> gsResolveClass(gsDocument const& document,
-                                 gsOrganisation const& organisation,
-                                 std::string_view templateName);
+/** Combines a template with an organisation's overrides. \return An error if
+ * the template or the resulting tier does not exist. */
+gsResult<gsRequestClass> gsResolveClass(gsDocument const& document,
+                                        gsOrganisation const& organisation,
+                                        std::string_view templateName);
 
-/** Word for a state, as it stands in JSON and logs. */
-char const* gsStateWord(gsUpstreamState state);
+/** Name of a state in JSON and logs. */
+char const* gsUpstreamStateName(gsUpstreamState state);
 
-/** Word for a kind, as it stands in JSON. */
-char const* gsKindWord(gsUpstreamKind kind);
+/** Name of a kind in JSON. */
+char const* gsUpstreamKindName(gsUpstreamKind kind);
--- a/Source/Core/gsDocumentJson.cxx
+++ b/Source/Core/gsDocumentJson.cxx
@@ -6,83 +6,87 @@
 
 namespace {
 
+/** Of durations; at most one day. */
 constexpr gsRange MillisRange{ 1, 86'400'000 };
 constexpr gsRange ShareRange{ 0.001, 1000 };
 constexpr gsRange SlotsRange{ 1, 4096 };
 constexpr gsRange TokensRange{ 1, 1'000'000 };
 constexpr gsRange RevisionRange{ 0, 9e15 };
-constexpr std::size_t HashLength = 64;
-constexpr std::size_t MaxName = 64;
+constexpr std::size_t HashLength = 64; ///< Hexadecimal digits of SHA-256.
+constexpr std::size_t MaxNameLength = 64;
 
-std::vector<std::string> const StateWords{ "active", "leaving", "stopped" };
-std::vector<std::string> const KindWords{ "engine", "plain" };
+std::vector<std::string> const StateNames{ "active", "leaving", "stopped" };
+std::vector<std::string> const KindNames{ "engine", "plain" };
 std::vector<std::string> const ChangeKinds{ "import",       "set_tiers",
                                             "set_template", "set_organisation",
                                             "add_upstream", "retire_upstream",
                                             "stop_upstream" };
 
-/** Names stand in paths, headers and logs: keep them plain. */
-std::string ReadName(gsFields& fields)
+/** Reads a name. Names appear in paths, headers and logs, so only letters,
+ * digits, '-', '_' and '.' are allowed. */
+std::string ReadName(gsFieldReader& fields)
 {
-  std::string name = fields.Text("name");
-  bool plain =
-    !name.empty() && name.size() <= MaxName &&
+  std::string name = fields.String("name");
+  bool valid =
+    !name.empty() && name.size() <= MaxNameLength &&
     std::all_of(name.begin(), name.end(), [](unsigned char c) {
       return std::isalnum(c) != 0 || c == '-' || c == '_' || c == '.';
     });
-  if (!plain) {
-    fields.Mistake("name", "up to 64 letters, digits, '-', '_' or '.'");
+  if (!valid) {
+    fields.ReportError("name", "up to 64 letters, digits, '-', '_' or '.'");
   }
   return name;
 }
 
-double Milliseconds(gsTime time)
+double ToMilliseconds(gsTime time)
 {
   return static_cast<double>(time.count()) / 1000;
 }
 
-gsTier ReadTier(gsFields& fields)
+gsTier ReadTier(gsFieldReader& fields)
 {
   gsTier row;
   row.Name = ReadName(fields);
-  row.AgeLimit = fields.Millis("age_limit_ms", MillisRange, row.AgeLimit);
+  row.AgeLimit =
+    fields.Milliseconds("age_limit_ms", MillisRange, row.AgeLimit);
   return row;
 }
 
-gsTemplate ReadTemplate(gsFields& fields)
+gsTemplate ReadTemplate(gsFieldReader& fields)
 {
   gsTemplate row;
   row.Name = ReadName(fields);
-  row.Service = fields.Text("service");
-  row.Tier = fields.Text("tier");
-  row.FirstToken =
-    fields.Millis("first_token_ms", MillisRange, row.FirstToken);
-  row.TokenGap = fields.Millis("token_gap_ms", MillisRange, row.TokenGap);
-  row.MaxWait = fields.Millis("max_wait_ms", MillisRange, row.MaxWait);
-  row.Repeatable = fields.Flag("repeatable", row.Repeatable);
+  row.Service = fields.String("service");
+  row.Tier = fields.String("tier");
+  row.FirstTokenTarget =
+    fields.Milliseconds("first_token_ms", MillisRange, row.FirstTokenTarget);
+  row.TokenIntervalTarget =
+    fields.Milliseconds("token_gap_ms", MillisRange, row.TokenIntervalTarget);
+  row.MaxWait = fields.Milliseconds("max_wait_ms", MillisRange, row.MaxWait);
+  row.Repeatable = fields.Boolean("repeatable", row.Repeatable);
   row.MaxTokens = static_cast<std::uint32_t>(
-    fields.Whole("max_tokens", TokensRange, row.MaxTokens));
-  row.Revision = fields.Whole("revision", RevisionRange, 0);
+    fields.Unsigned("max_tokens", TokensRange, row.MaxTokens));
+  row.Revision = fields.Unsigned("revision", RevisionRange, 0);
   return row;
 }
 
-gsOverride ReadOverride(gsFields& fields)
+gsOverride ReadOverride(gsFieldReader& fields)
 {
   gsOverride row;
   if (fields.Has("tier")) {
-    row.Tier = fields.Text("tier");
+    row.Tier = fields.String("tier");
   }
   if (fields.Has("first_token_ms")) {
-    row.FirstToken = fields.Millis("first_token_ms", MillisRange);
+    row.FirstTokenTarget = fields.Milliseconds("first_token_ms", MillisRange);
   }
   if (fields.Has("token_gap_ms")) {
-    row.TokenGap = fields.Millis("token_gap_ms", MillisRange);
+    row.TokenIntervalTarget = fields.Milliseconds("token_gap_ms", MillisRange);
   }
   if (fields.Has("max_wait_ms")) {
-    row.MaxWait = fields.Millis("max_wait_ms", MillisRange);
+    row.MaxWait = fields.Milliseconds("max_wait_ms", MillisRange);
   }
   if (fields.Has("repeatable")) {
-    row.Repeatable = fields.Flag("repeatable", true);
+    row.Repeatable = fields.Boolean("repeatable", true);
   }
   return row;
 }
@@ -93,58 +97,59 @@
          text.find_first_not_of("0123456789abcdef") == std::string::npos;
 }
 
-gsOrganisation ReadOrganisation(gsFields& fields)
+gsOrganisation ReadOrganisation(gsFieldReader& fields)
 {
   gsOrganisation row;
   row.Name = ReadName(fields);
-  row.KeyHashes = fields.Texts("key_hashes");
+  row.KeyHashes = fields.Strings("key_hashes");
   if (!std::all_of(row.KeyHashes.begin(), row.KeyHashes.end(), IsHash)) {
-    fields.Mistake("key_hashes",
-                   "SHA-256 hashes of 64 lower-case hexadecimal digits");
+    fields.ReportError("key_hashes",
+                       "SHA-256 hashes of 64 lower-case hexadecimal digits");
   }
   row.Share = fields.Number("share", ShareRange, row.Share);
-  fields.Map("classes", [&](std::string const& key, gsFields& inner) {
+  fields.Map("classes", [&](std::string const& key, gsFieldReader& inner) {
     row.Classes[key] = ReadOverride(inner);
   });
-  row.Revision = fields.Whole("revision", RevisionRange, 0);
+  row.Revision = fields.Unsigned("revision", RevisionRange, 0);
   return row;
 }
 
-gsUpstream ReadUpstream(gsFields& fields)
+gsUpstream ReadUpstream(gsFieldReader& fields)
 {
   gsUpstream row;
   row.Name = ReadName(fields);
-  row.Hall = fields.Text("hall");
-  row.Service = fields.Text("service");
+  row.Hall = fields.String("hall");
+  row.Service = fields.String("service");
   row.Address = fields.Address("address");
-  row.Kind = static_cast<gsUpstreamKind>(fields.Choice("kind", KindWords, 0));
+  row.Kind = static_cast<gsUpstreamKind>(fields.Choice("kind", KindNames, 0));
   row.State =
-    static_cast<gsUpstreamState>(fields.Choice("state", StateWords, 0));
-  row.Slots =
-    static_cast<std::uint32_t>(fields.Whole("slots", SlotsRange, row.Slots));
-  row.MaxSlots = static_cast<std::uint32_t>(
-    fields.Whole("max_slots", SlotsRange, std::max(row.Slots, row.MaxSlots)));
-  row.Revision = fields.Whole("revision", RevisionRange, 0);
+    static_cast<gsUpstreamState>(fields.Choice("state", StateNames, 0));
+  row.Slots = static_cast<std::uint32_t>(
+    fields.Unsigned("slots", SlotsRange, row.Slots));
+  row.MaxSlots = static_cast<std::uint32_t>(fields.Unsigned(
+    "max_slots", SlotsRange, std::max(row.Slots, row.MaxSlots)));
+  row.Revision = fields.Unsigned("revision", RevisionRange, 0);
   return row;
 }
 
-gsChange ReadChange(gsFields& fields)
+gsChange ReadChange(gsFieldReader& fields)
 {
   gsChange row;
-  row.Id = fields.Text("id");
-  row.Version = fields.Whole("version", RevisionRange);
-  row.Summary = fields.Text("summary", "");
+  row.Id = fields.String("id");
+  row.Version = fields.Unsigned("version", RevisionRange);
+  row.Summary = fields.String("summary", "");
   return row;
 }
 
-gsError Invalid(std::string const& message, std::string_view source)
+gsError InvalidError(std::string const& message, std::string_view source)
 {
   return gsError{ "invalid", std::string(source) + ": " + message, "check",
                   std::string(source) };
 }
 
 template<typename Table>
-std::optional<std::string> Twice(Table const& table)
+/** The first name that occurs more than once. */
+std::optional<std::string> FindDuplicate(Table const& table)
 {
   std::set<std::string> names;
   for (auto const& row : table) {
@@ -155,79 +160,83 @@
   return std::nullopt;
 }
 
-/** Rules across tables. */
-std::optional<gsError> CheckWhole(gsDocument const& document,
-                                  std::string_view source)
+/** Checks the rules that involve several rows or tables: unique names and
+ * keys, and references between tables. */
+std::optional<gsError> CheckConsistency(gsDocument const& document,
+                                        std::string_view source)
 {
-  auto twice = Twice(document.Tiers);
-  twice = twice ? twice : Twice(document.Templates);
-  twice = twice ? twice : Twice(document.Organisations);
-  twice = twice ? twice : Twice(document.Upstreams);
-  if (twice) {
-    return Invalid("the name '" + *twice + "' stands twice in one table.",
-                   source);
+  auto duplicate = FindDuplicate(document.Tiers);
+  duplicate = duplicate ? duplicate : FindDuplicate(document.Templates);
+  duplicate = duplicate ? duplicate : FindDuplicate(document.Organisations);
+  duplicate = duplicate ? duplicate : FindDuplicate(document.Upstreams);
+  if (duplicate) {
+    return InvalidError(
+      "the name '" + *duplicate + "' stands twice in one table.", source);
   }
   for (gsTemplate const& row : document.Templates) {
     if (!gsTierRank(document, row.Tier)) {
-      return Invalid("template '" + row.Name + "' names the tier '" +
-                       row.Tier + "', which there is not.",
-                     source);
+      return InvalidError("template '" + row.Name + "' names the tier '" +
+                            row.Tier + "', which there is not.",
+                          source);
     }
   }
   std::set<std::string> hashes;
   for (gsOrganisation const& row : document.Organisations) {
-    for (auto const& [name, changed] : row.Classes) {
+    for (auto const& [name, overrides] : row.Classes) {
       if (gsFindByName(document.Templates, name) == nullptr) {
-        return Invalid("organisation '" + row.Name + "' sets the template '" +
-                         name + "', which there is not.",
-                       source);
+        return InvalidError("organisation '" + row.Name +
+                              "' sets the template '" + name +
+                              "', which there is not.",
+                            source);
       }
-      if (changed.Tier && !gsTierRank(document, *changed.Tier)) {
-        return Invalid("organisation '" + row.Name + "' names the tier '" +
-                         *changed.Tier + "', which there is not.",
-                       source);
+      if (overrides.Tier && !gsTierRank(document, *overrides.Tier)) {
+        return InvalidError("organisation '" + row.Name +
+                              "' names the tier '" + *overrides.Tier +
+                              "', which there is not.",
+                            source);
       }
     }
     for (std::string const& hash : row.KeyHashes) {
       if (!hashes.insert(hash).second) {
-        return Invalid("organisation '" + row.Name +
-                         "' has a key that is in use already.",
-                       source);
+        return InvalidError("organisation '" + row.Name +
+                              "' has a key that is in use already.",
+                            source);
       }
     }
   }
   for (gsUpstream const& row : document.Upstreams) {
     if (row.MaxSlots < row.Slots) {
-      return Invalid("upstream '" + row.Name + "' has max_slots below slots.",
-                     source);
+      return InvalidError(
+        "upstream '" + row.Name + "' has max_slots below slots.", source);
     }
   }
   return std::nullopt;
 }
 
-gsDocument ReadDocument(gsFields& fields)
+gsDocument ReadDocument(gsFieldReader& fields)
 {
   gsDocument document;
-  document.Version = fields.Whole("version", RevisionRange, 0);
-  fields.List("tiers",
-              [&](gsFields& row) { document.Tiers.push_back(ReadTier(row)); });
-  fields.List("templates", [&](gsFields& row) {
+  document.Version = fields.Unsigned("version", RevisionRange, 0);
+  fields.List("tiers", [&](gsFieldReader& row) {
+    document.Tiers.push_back(ReadTier(row));
+  });
+  fields.List("templates", [&](gsFieldReader& row) {
     document.Templates.push_back(ReadTemplate(row));
   });
-  fields.List("organisations", [&](gsFields& row) {
+  fields.List("organisations", [&](gsFieldReader& row) {
     document.Organisations.push_back(ReadOrganisation(row));
   });
-  fields.List("upstreams", [&](gsFields& row) {
+  fields.List("upstreams", [&](gsFieldReader& row) {
     document.Upstreams.push_back(ReadUpstream(row));
   });
-  fields.List("changes", [&](gsFields& row) {
+  fields.List("changes", [&](gsFieldReader& row) {
     document.Changes.push_back(ReadChange(row));
   });
   return document;
 }
 
-gsError Conflict(std::string const& name, std::uint64_t expected,
-                 std::uint64_t found)
+gsError ConflictError(std::string const& name, std::uint64_t expected,
+                      std::uint64_t found)
 {
   return gsError{ "conflict",
                   "'" + name + "' is at revision " + std::to_string(found) +
@@ -236,40 +245,42 @@
                   "change", name };
 }
 
-/** One change being applied. */
-struct Application
+/** Applies one change to a copy of the document. */
+struct ChangeApplier
 {
-  gsDocument& Next;
-  gsFields& Fields;
-  std::optional<std::uint64_t> Expected;
-  std::optional<gsError> Error;
-  std::string Summary;
+  gsDocument& Next;      ///< The copy; its version is already incremented.
+  gsFieldReader& Fields; ///< Of the change.
+  /** Revision that the changed object must have; empty for any. */
+  std::optional<std::uint64_t> ExpectedRevision;
+  std::optional<gsError> Error; ///< The last conflict or unknown name.
+  std::string Summary;          ///< Name of the changed object, if any.
 
   template<typename Row>
   void Upsert(std::vector<Row>& table, Row row)
   {
-    Row* known = gsFindByName(table, row.Name);
-    std::uint64_t found = known == nullptr ? 0 : known->Revision;
-    if (this->Expected && *this->Expected != found) {
-      this->Error = Conflict(row.Name, *this->Expected, found);
+    Row* existing = gsFindByName(table, row.Name);
+    std::uint64_t revision = existing == nullptr ? 0 : existing->Revision;
+    if (this->ExpectedRevision && *this->ExpectedRevision != revision) {
+      this->Error = ConflictError(row.Name, *this->ExpectedRevision, revision);
       return;
     }
     row.Revision = this->Next.Version;
-    if (known == nullptr) {
+    if (existing == nullptr) {
       table.push_back(std::move(row));
     } else {
-      *known = std::move(row);
+      *existing = std::move(row);
     }
   }
 
-  /** States only move forward: what has left does not come back. */
+  /** Adds or replaces an upstream. Fails if the existing row is in a later
+   * state, because an upstream that has left is never reused. */
   void AddUpstream(gsUpstream row)
   {
-    gsUpstream const* known = gsFindByName(this->Next.Upstreams, row.Name);
-    if (known != nullptr && known->State > row.State) {
+    gsUpstream const* existing = gsFindByName(this->Next.Upstreams, row.Name);
+    if (existing != nullptr && existing->State > row.State) {
       this->Error = gsError{ "conflict",
                              "Upstream '" + row.Name + "' is " +
-                               gsStateWord(known->State) +
+                               gsUpstreamStateName(existing->State) +
                                " already; add it under a new name.",
                              "change", row.Name };
       return;
@@ -277,72 +288,75 @@
     this->Upsert(this->Next.Upstreams, std::move(row));
   }
 
-  void MoveUpstream(std::string const& name, gsUpstreamState state)
+  /** Sets the state of an upstream, unless it is already in a later one. */
+  void AdvanceUpstream(std::string const& name, gsUpstreamState state)
   {
-    gsUpstream const* known = gsFindByName(this->Next.Upstreams, name);
-    if (known == nullptr) {
+    gsUpstream const* existing = gsFindByName(this->Next.Upstreams, name);
+    if (existing == nullptr) {
       this->Error = gsError{ "unknown_upstream",
                              "There is no upstream named '" + name + "'.",
                              "change", name };
       return;
     }
-    gsUpstream row = *known;
+    gsUpstream row = *existing;
     row.State = std::max(row.State, state);
     this->Upsert(this->Next.Upstreams, std::move(row));
   }
 
-  void Import(gsDocument given)
+  /** Merges a document into the copy: replaces all tiers if it has any, and
+   * adds or replaces rows of the other tables. */
+  void Import(gsDocument imported)
   {
-    if (!given.Tiers.empty()) {
-      this->Next.Tiers = std::move(given.Tiers);
+    if (!imported.Tiers.empty()) {
+      this->Next.Tiers = std::move(imported.Tiers);
     }
-    for (gsTemplate& row : given.Templates) {
+    for (gsTemplate& row : imported.Templates) {
       this->Upsert(this->Next.Templates, std::move(row));
     }
-    for (gsOrganisation& row : given.Organisations) {
+    for (gsOrganisation& row : imported.Organisations) {
       this->Upsert(this->Next.Organisations, std::move(row));
     }
-    for (gsUpstream& row : given.Upstreams) {
+    for (gsUpstream& row : imported.Upstreams) {
       this->AddUpstream(std::move(row));
     }
   }
 
-  void Run(std::size_t kind)
+  void Apply(std::size_t kind)
   {
-    std::string const& word = ChangeKinds[kind];
-    if (word == "import") {
-      gsDocument given;
-      this->Fields.Object("document",
-                          [&](gsFields& f) { given = ReadDocument(f); });
-      this->Import(std::move(given));
-    } else if (word == "set_tiers") {
+    std::string const& name = ChangeKinds[kind];
+    if (name == "import") {
+      gsDocument imported;
+      this->Fields.Object(
+        "document", [&](gsFieldReader& f) { imported = ReadDocument(f); });
+      this->Import(std::move(imported));
+    } else if (name == "set_tiers") {
       this->Next.Tiers.clear();
-      this->Fields.List("tiers", [&](gsFields& f) {
+      this->Fields.List("tiers", [&](gsFieldReader& f) {
         this->Next.Tiers.push_back(ReadTier(f));
       });
-    } else if (word == "set_template") {
-      this->Fields.Object("template", [&](gsFields& f) {
+    } else if (name == "set_template") {
+      this->Fields.Object("template", [&](gsFieldReader& f) {
         gsTemplate row = ReadTemplate(f);
         this->Summary = row.Name;
         this->Upsert(this->Next.Templates, std::move(row));
       });
-    } else if (word == "set_organisation") {
-      this->Fields.Object("organisation", [&](gsFields& f) {
+    } else if (name == "set_organisation") {
+      this->Fields.Object("organisation", [&](gsFieldReader& f) {
         gsOrganisation row = ReadOrganisation(f);
         this->Summary = row.Name;
         this->Upsert(this->Next.Organisations, std::move(row));
       });
-    } else if (word == "add_upstream") {
-      this->Fields.Object("upstream", [&](gsFields& f) {
+    } else if (name == "add_upstream") {
+      this->Fields.Object("upstream", [&](gsFieldReader& f) {
         gsUpstream row = ReadUpstream(f);
         this->Summary = row.Name;
         this->AddUpstream(std::move(row));
       });
     } else {
-      this->Summary = this->Fields.Text("name");
-      this->MoveUpstream(this->Summary, word == "retire_upstream"
-                                          ? gsUpstreamState::Leaving
-                                          : gsUpstreamState::Stopped);
+      this->Summary = this->Fields.String("name");
+      this->AdvanceUpstream(this->Summary, name == "retire_upstream"
+                                             ? gsUpstreamState::Leaving
+                                             : gsUpstreamState::Stopped);
     }
   }
 };
@@ -352,13 +366,13 @@
 gsResult<gsDocument> gsDocumentFromJson(gsJson const& json,
                                         std::string_view source)
 {
-  gsFields fields(json, std::string(source), "");
+  gsFieldReader fields(json, std::string(source), "");
   gsDocument document = ReadDocument(fields);
   fields.Finish();
   if (fields.Error()) {
     return *fields.Error();
   }
-  if (std::optional<gsError> error = CheckWhole(document, source)) {
+  if (std::optional<gsError> error = CheckConsistency(document, source)) {
     return *error;
   }
   return document;
@@ -379,9 +393,9 @@
   return { { "name", row.Name },
            { "service", row.Service },
            { "tier", row.Tier },
-           { "first_token_ms", Milliseconds(row.FirstToken) },
-           { "token_gap_ms", Milliseconds(row.TokenGap) },
-           { "max_wait_ms", Milliseconds(row.MaxWait) },
+           { "first_token_ms", ToMilliseconds(row.FirstTokenTarget) },
+           { "token_gap_ms", ToMilliseconds(row.TokenIntervalTarget) },
+           { "max_wait_ms", ToMilliseconds(row.MaxWait) },
            { "repeatable", row.Repeatable },
            { "max_tokens", row.MaxTokens },
            { "revision", row.Revision } };
@@ -390,22 +404,22 @@
 gsJson gsToJson(gsOrganisation const& row)
 {
   gsJson classes = gsJson::object();
-  for (auto const& [name, changed] : row.Classes) {
+  for (auto const& [name, overrides] : row.Classes) {
     gsJson item = gsJson::object();
-    if (changed.Tier) {
-      item["tier"] = *changed.Tier;
+    if (overrides.Tier) {
+      item["tier"] = *overrides.Tier;
     }
-    if (changed.FirstToken) {
-      item["first_token_ms"] = Milliseconds(*changed.FirstToken);
+    if (overrides.FirstTokenTarget) {
+      item["first_token_ms"] = ToMilliseconds(*overrides.FirstTokenTarget);
     }
-    if (changed.TokenGap) {
-      item["token_gap_ms"] = Milliseconds(*changed.TokenGap);
+    if (overrides.TokenIntervalTarget) {
+      item["token_gap_ms"] = ToMilliseconds(*overrides.TokenIntervalTarget);
     }
-    if (changed.MaxWait) {
-      item["max_wait_ms"] = Milliseconds(*changed.MaxWait);
+    if (overrides.MaxWait) {
+      item["max_wait_ms"] = ToMilliseconds(*overrides.MaxWait);
     }
-    if (changed.Repeatable) {
-      item["repeatable"] = *changed.Repeatable;
+    if (overrides.Repeatable) {
+      item["repeatable"] = *overrides.Repeatable;
     }
     classes[name] = std::move(item);
   }
@@ -422,8 +436,8 @@
            { "hall", row.Hall },
            { "service", row.Service },
            { "address", row.Address },
-           { "kind", gsKindWord(row.Kind) },
-           { "state", gsStateWord(row.State) },
+           { "kind", gsUpstreamKindName(row.Kind) },
+           { "state", gsUpstreamStateName(row.State) },
            { "slots", row.Slots },
            { "max_slots", row.MaxSlots },
            { "revision", row.Revision } };
@@ -436,7 +450,7 @@
   for (gsTier const& row : document.Tiers) {
     json["tiers"].push_back(
       { { "name", row.Name },
-        { "age_limit_ms", Milliseconds(row.AgeLimit) } });
+        { "age_limit_ms", ToMilliseconds(row.AgeLimit) } });
   }
   auto add = [&json](char const* name, auto const& table) {
     json[name] = gsJson::array();
@@ -462,36 +476,37 @@
   if (!json) {
     return json.error();
   }
-  gsFields fields(json.value(), "change", "");
+  gsFieldReader fields(json.value(), "change", "");
   gsChange record;
-  record.Id = fields.Text("id");
+  record.Id = fields.String("id");
   std::size_t kind = fields.Choice("kind", ChangeKinds);
   gsDocument next = document;
   ++next.Version;
-  Application application{ next, fields, std::nullopt, std::nullopt, {} };
+  ChangeApplier applier{ next, fields, std::nullopt, std::nullopt, {} };
   if (fields.Has("expected_revision")) {
-    application.Expected = fields.Whole("expected_revision", RevisionRange);
+    applier.ExpectedRevision =
+      fields.Unsigned("expected_revision", RevisionRange);
   }
   if (!fields.Error()) {
-    application.Run(kind);
+    applier.Apply(kind);
   }
   fields.Finish();
   if (fields.Error()) {
     return *fields.Error();
   }
-  if (application.Error) {
-    return *application.Error;
+  if (applier.Error) {
+    return *applier.Error;
   }
-  if (std::optional<gsError> error = CheckWhole(next, "change")) {
+  if (std::optional<gsError> error = CheckConsistency(next, "change")) {
     return *error;
   }
   record.Version = next.Version;
   record.Summary = ChangeKinds[kind];
-  if (!application.Summary.empty()) {
-    record.Summary += " " + application.Summary;
+  if (!applier.Summary.empty()) {
+    record.Summary += " " + applier.Summary;
   }
   next.Changes.push_back(record);
-  if (next.Changes.size() > gsMaxRememberedChanges) {
+  if (next.Changes.size() > gsMaxRetainedChanges) {
     next.Changes.erase(next.Changes.begin());
   }
   document = std::move(next);
--- a/Source/Core/gsEngineOrder.cxx
+++ b/Source/Core/gsEngineOrder.cxx
@@ -7,9 +7,9 @@
 
 namespace {
 
-constexpr unsigned HalfBits = 32;
+constexpr unsigned PositionShift = 32;
 
-gsEngineRing::iterator Lower(gsEngineRing& ring, std::uint32_t position)
+gsEngineRing::iterator LowerBound(gsEngineRing& ring, std::uint32_t position)
 {
   return std::lower_bound(ring.begin(), ring.end(), position,
                           [](gsRingEntry const& entry, std::uint32_t at) {
@@ -17,47 +17,48 @@
                           });
 }
 
-/** The entry itself; several may have its position. */
-gsEngineRing::iterator Find(gsEngineRing& ring, gsRingEntry entry)
+/** Finds the entry with the same position and row; several entries may have
+ * the same position. */
+gsEngineRing::iterator FindEntry(gsEngineRing& ring, gsRingEntry entry)
 {
-  auto found = Lower(ring, entry.Position);
+  auto found = LowerBound(ring, entry.Position);
   while (found != ring.end() && found->Position == entry.Position &&
          found->Row != entry.Row) {
     ++found;
   }
-  bool there = found != ring.end() && found->Position == entry.Position;
-  return there ? found : ring.end();
+  bool isFound = found != ring.end() && found->Position == entry.Position;
+  return isFound ? found : ring.end();
 }
 
 } // namespace
 
 std::uint32_t gsRingPosition(std::string_view id)
 {
-  return static_cast<std::uint32_t>(gsHashText(id) >> HalfBits);
+  return static_cast<std::uint32_t>(gsHashText(id) >> PositionShift);
 }
 
 void gsRingInsert(gsEngineRing& ring, gsRingEntry entry)
 {
-  ring.insert(Lower(ring, entry.Position), entry);
+  ring.insert(LowerBound(ring, entry.Position), entry);
 }
 
 void gsRingErase(gsEngineRing& ring, gsRingEntry entry)
 {
-  auto found = Find(ring, entry);
+  auto found = FindEntry(ring, entry);
   if (found != ring.end()) {
     ring.erase(found);
   }
 }
 
-void gsRingRename(gsEngineRing& ring, gsRingEntry entry, std::uint32_t row)
+void gsRingUpdateRow(gsEngineRing& ring, gsRingEntry entry, std::uint32_t row)
 {
-  auto found = Find(ring, entry);
+  auto found = FindEntry(ring, entry);
   if (found != ring.end()) {
     found->Row = row;
   }
 }
 
-std::size_t gsRingAfter(gsEngineRing const& ring, std::uint32_t position)
+std::size_t gsRingLowerBound(gsEngineRing const& ring, std::uint32_t position)
 {
   auto found =
     std::lower_bound(ring.begin(), ring.end(), position,
--- a/Source/Core/gsEngineOrder.h
+++ b/Source/Core/gsEngineOrder.h
@@ -1,13 +1,15 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * Two orders of a service's upstreams, kept as they come and go one by one.
+ * Two orders of a service's upstreams, which are updated incrementally when
+ * upstreams are added or removed.
  *
- * In the one, slow engines come first and then all go by hash: the first of
- * it are for long prompts. The other is a ring, by a hash of the id alone: a
- * subject's home is one of the upstreams in a few arcs of it, so that it is
- * found without looking at all of them, every host finds the same, and one
- * that comes or goes changes the arcs that it is in and no others.
+ * The first order sorts by speed class, slow engines first, and then by hash.
+ * Its first engines are those for long prompts. The second is a hash ring,
+ * sorted by a hash of the id. The preferred engine of a subject is one of the
+ * upstreams in a few arcs of the ring, so it is found without examining all
+ * upstreams, and all hosts find the same one. An upstream that is added or
+ * removed changes only the arcs that contain it.
  */
 #pragma once
 
@@ -17,34 +19,38 @@
 #include <utility>
 #include <vector>
 
-/** Place of an engine in the first order. */
+/** Sort key of an engine in the first order. */
 struct gsEngineKey
 {
-  bool Fast = true;
-  std::uint32_t Hash = 0;
+  bool IsFast = true;     ///< The arrangement does not list it as slow.
+  std::uint32_t Hash = 0; ///< Hash of its incarnation.
 
   friend bool operator<(gsEngineKey const& a, gsEngineKey const& b)
   {
-    return a.Fast != b.Fast ? b.Fast : a.Hash < b.Hash;
+    return a.IsFast != b.IsFast ? b.IsFast : a.Hash < b.Hash;
   }
 };
 
-/** An upstream on the ring. */
+/** An upstream on the hash ring. */
 struct gsRingEntry
 {
   std::uint32_t Position = 0;
   std::uint32_t Row = 0; ///< Index into gsFleet::Rows.
 };
 
-/** Ascending by position. */
+/** Hash ring of a service's upstreams; sorted by position, ascending. */
 using gsEngineRing = std::vector<gsRingEntry>;
 
+/** Position of an upstream on the ring: the upper half of a hash of its id. */
 std::uint32_t gsRingPosition(std::string_view id);
 
+/** Inserts an entry at its position. */
 void gsRingInsert(gsEngineRing& ring, gsRingEntry entry);
+/** Removes an entry; does nothing if it does not exist. */
 void gsRingErase(gsEngineRing& ring, gsRingEntry entry);
-/** The row has another index now. */
-void gsRingRename(gsEngineRing& ring, gsRingEntry entry, std::uint32_t row);
+/** Updates an entry after its row has moved to another index. */
+void gsRingUpdateRow(gsEngineRing& ring, gsRingEntry entry, std::uint32_t row);
 
-/** Index of the first entry at or after a position; the ring is not empty. */
-std::size_t gsRingAfter(gsEngineRing const& ring, std::uint32_t position);
+/** Index of the first entry at or after a position; 0 if there is none. The
+ * ring must not be empty. */
+std::size_t gsRingLowerBound(gsEngineRing const& ring, std::uint32_t position);
--- a/Source/Core/gsEstimate.cxx
+++ b/Source/Core/gsEstimate.cxx
@@ -3,22 +3,23 @@
 
 namespace {
 
+/** Output tokens assumed if there are no samples. */
 constexpr double DefaultTokens = 128;
 
 } // namespace
 
 void gsRollingMean::Add(double value)
 {
-  this->Set(value);
-  ++this->Samples;
+  this->Accumulator(value);
+  ++this->SampleCount;
 }
 
 double gsRollingMean::Value(double fallback) const
 {
-  if (this->Samples == 0) {
+  if (this->SampleCount == 0) {
     return fallback;
   }
-  return boost::accumulators::rolling_mean(this->Set);
+  return boost::accumulators::rolling_mean(this->Accumulator);
 }
 
 double gsEstimateTokens(gsEstimates const& estimates,
@@ -37,11 +38,12 @@
   return promptTokens + DefaultTokens;
 }
 
-void gsLearn(gsEstimates& estimates, std::string const& organisation,
-             std::string const& templateName, double tokens, gsTime hold)
+void gsUpdateEstimates(gsEstimates& estimates, std::string const& organisation,
+                       std::string const& templateName, double tokens,
+                       gsTime holdTime)
 {
   estimates.Tokens[{ organisation, templateName }].Add(tokens);
   estimates.TemplateTokens[templateName].Add(tokens);
-  estimates.Hold.Add(gsToSeconds(hold));
-  estimates.TemplateHold[templateName].Add(gsToSeconds(hold));
+  estimates.HoldSeconds.Add(gsToSeconds(holdTime));
+  estimates.TemplateHoldSeconds[templateName].Add(gsToSeconds(holdTime));
 }
--- a/Source/Core/gsEstimate.h
+++ b/Source/Core/gsEstimate.h
@@ -2,8 +2,10 @@
 /**
  * \file
  * Estimates of how many tokens a request will generate and how long it will
- * hold a slot. Lengths cannot be known in advance; these are streaming
- * statistics for each organisation and template, over recent work only.
+ * hold a slot. Output lengths are not known in advance, so the estimates are
+ * rolling means of the last requests per organisation and template. Each mean
+ * covers gsRollingMean::Window samples; the number of means is bounded only by
+ * the number of organisations and templates.
  */
 #pragma once
 
@@ -19,42 +21,45 @@
 
 #include "gsTypes.h"
 
-/** A mean over the last samples. */
+/** Mean of the last Window samples. */
 class gsRollingMean
 {
 public:
   void Add(double value);
-  /** The mean, or the fallback while there is no sample. */
+  /** The mean, or the fallback if there are no samples. */
   double Value(double fallback) const;
-  std::uint64_t Count() const { return this->Samples; }
+  std::uint64_t Count() const { return this->SampleCount; }
 
 private:
   static constexpr int Window = 64;
   boost::accumulators::accumulator_set<
     double, boost::accumulators::stats<boost::accumulators::tag::rolling_mean>>
-    Set{ boost::accumulators::tag::rolling_window::window_size = Window };
-  std::uint64_t Samples = 0;
+    Accumulator{ boost::accumulators::tag::rolling_window::window_size =
+                   Window };
+  std::uint64_t SampleCount = 0;
 };
 
 /** Estimates of one pool. */
 struct gsEstimates
 {
-  /** Tokens by organisation and template. */
+  /** Generated tokens by organisation and template. */
   std::map<std::pair<std::string, std::string>, gsRollingMean> Tokens;
-  /** Tokens by template, for organisations not seen yet. */
+  /** Generated tokens by template, for organisations without samples. */
   std::map<std::string, gsRollingMean, std::less<>> TemplateTokens;
-  /** Seconds a slot is held, over all classes. */
-  gsRollingMean Hold;
-  /** Seconds a slot is held, by template. */
-  std::map<std::string, gsRollingMean, std::less<>> TemplateHold;
+  /** Seconds for which a slot is held, over all templates. */
+  gsRollingMean HoldSeconds;
+  /** Seconds for which a slot is held, by template. */
+  std::map<std::string, gsRollingMean, std::less<>> TemplateHoldSeconds;
 };
 
-/** Expected tokens of a request: prompt plus expected output. */
+/** Expected total tokens of a request: prompt plus estimated output. */
 double gsEstimateTokens(gsEstimates const& estimates,
                         std::string const& organisation,
                         std::string const& templateName,
                         std::uint32_t promptTokens);
 
-/** Takes the measurement of an ended request in. */
-void gsLearn(gsEstimates& estimates, std::string const& organisation,
-             std::string const& templateName, double tokens, gsTime hold);
+/** Adds the measured output tokens and slot hold time of a completed request
+ * to the estimates. */
+void gsUpdateEstimates(gsEstimates& estimates, std::string const& organisation,
+                       std::string const& templateName, double tokens,
+                       gsTime holdTime);
--- a/Source/Core/gsFleet.cxx
+++ b/Source/Core/gsFleet.cxx
@@ -11,28 +11,35 @@
 
 namespace {
 
-/** Events of which the least pause counts. Of so many, some follow upon steps
- * in which nothing is read, though an engine reads for most of its time. */
-constexpr std::uint32_t PaceEvents = 24;
-/** An engine may turn slower: the least pause counts for so long, */
-constexpr gsTime PaceSpan = gsSeconds(5);
-/** and is forgotten then unless there was a new one. */
-constexpr gsTime PaceMemory = gsSeconds(10);
-constexpr double FailSmoothing = 0.25;
-constexpr gsTime FailHalfLife = gsSeconds(3);
-/** How long an upstream that has turned work away counts as full. */
-constexpr gsTime FullMemory = gsMilliseconds(500);
-constexpr gsTime AvoidBase = gsMilliseconds(400);
-constexpr std::uint32_t MaxAvoidDoublings = 3;
-
-void Forget(gsFleet const& fleet, gsFleetRow& row, gsTime now)
-{
-  for (auto part = row.Parts.begin(); part != row.Parts.end();) {
-    bool old = now - part->second > fleet.Settings.PartMemory;
-    part = old ? row.Parts.erase(part) : std::next(part);
-  }
-  if (row.Parts.size() > fleet.Settings.PartsMost) {
-    row.Parts.clear();
+/** Event intervals per sample, of which the minimum is used. Even if an engine
+ * processes prompts most of the time, some of so many intervals cover only
+ * steps without prompt processing. */
+constexpr std::uint32_t IntervalsPerSample = 24;
+/** Window of the minimum event interval; bounded since an engine may become
+ * slower. */
+constexpr gsTime MinIntervalWindow = gsSeconds(5);
+/** Age at which a minimum event interval expires if it was not replaced. */
+constexpr gsTime MinIntervalLifetime = gsSeconds(10);
+/** Weight of a new outcome in the failure rate. */
+constexpr double FailureSmoothing = 0.25;
+constexpr gsTime FailureHalfLife = gsSeconds(3);
+/** Time for which an upstream counts as full after a rejection. */
+constexpr gsTime FullDuration = gsMilliseconds(500);
+/** Backoff after the first connection failure. Each further consecutive
+ * failure doubles it, up to MaxBackoffDoublings times. */
+constexpr gsTime BaseBackoff = gsMilliseconds(400);
+constexpr std::uint32_t MaxBackoffDoublings = 3;
+
+/** Removes cached parts older than PartRetention, and all parts if more than
+ * MaxParts remain. */
+void ExpireParts(gsFleet const& fleet, gsFleetRow& row, gsTime now)
+{
+  for (auto part = row.CachedParts.begin(); part != row.CachedParts.end();) {
+    bool expired = now - part->second > fleet.Settings.PartRetention;
+    part = expired ? row.CachedParts.erase(part) : std::next(part);
+  }
+  if (row.CachedParts.size() > fleet.Settings.MaxParts) {
+    row.CachedParts.clear();
   }
 }
 
@@ -40,42 +47,43 @@
 
 namespace {
 
-gsRingEntry EntryOf(gsFleet const& fleet, std::size_t index)
+gsRingEntry RingEntryOf(gsFleet const& fleet, std::size_t index)
 {
   return { gsRingPosition(fleet.Rows[index].Listed.Id),
            static_cast<std::uint32_t>(index) };
 }
 
-/** Puts a row into all orders; its place in Rows is final. */
-void Enter(gsFleet& fleet, std::size_t index)
+/** Adds a row to all indexes. Its position in Rows must not change
+ * afterwards. */
+void AddToIndexes(gsFleet& fleet, std::size_t index)
 {
   gsFleetRow& row = fleet.Rows[index];
   std::string const& service = row.Listed.Service;
-  row.Slow = gsIsSlowEngine(fleet.Arrangements[service], row);
+  row.IsSlow = gsIsSlowEngine(fleet.Arrangements[service], row);
   fleet.ById[row.Listed.Id] = index;
   fleet.ByHash[row.Hash] = index;
-  ++fleet.HallRows[row.Listed.Hall];
-  fleet.LeavingRows += row.Listed.Leaving ? 1 : 0;
-  gsRankIn(fleet, fleet.ByService[service], index);
-  gsRingInsert(fleet.Rings[service], EntryOf(fleet, index));
+  ++fleet.RowsPerHall[row.Listed.Hall];
+  fleet.LeavingRowCount += row.Listed.Leaving ? 1 : 0;
+  gsInsertRanked(fleet, fleet.ByService[service], index);
+  gsRingInsert(fleet.Rings[service], RingEntryOf(fleet, index));
 }
 
-/** Takes a row out of all orders. */
-void Exit(gsFleet& fleet, std::size_t index)
+/** Removes a row from all indexes. */
+void RemoveFromIndexes(gsFleet& fleet, std::size_t index)
 {
   gsFleetRow& row = fleet.Rows[index];
-  fleet.LeavingRows -= row.Listed.Leaving ? 1 : 0;
+  fleet.LeavingRowCount -= row.Listed.Leaving ? 1 : 0;
   auto members = fleet.ByService.find(row.Listed.Service);
-  gsRankOut(fleet, members->second, index);
+  gsRemoveRanked(fleet, members->second, index);
   gsEngineRing& ring = fleet.Rings[row.Listed.Service];
-  gsRingErase(ring, EntryOf(fleet, index));
+  gsRingErase(ring, RingEntryOf(fleet, index));
   if (members->second.empty()) {
     fleet.Rings.erase(row.Listed.Service);
     fleet.ByService.erase(members);
   }
-  auto hall = fleet.HallRows.find(row.Listed.Hall);
+  auto hall = fleet.RowsPerHall.find(row.Listed.Hall);
   if (--hall->second == 0) {
-    fleet.HallRows.erase(hall);
+    fleet.RowsPerHall.erase(hall);
   }
   auto hash = fleet.ByHash.find(row.Hash);
   if (hash != fleet.ByHash.end() && hash->second == index) {
@@ -84,182 +92,197 @@
   fleet.ById.erase(row.Listed.Id);
 }
 
-/** Makes room for one more word that is kept: the old ones go, or the oldest.
- */
-void ForgetWords(gsFleet& fleet, gsTime now)
+/** Makes room for one more retained announcement: removes the expired ones,
+ * and then the oldest one if there is still no room. */
+void EvictAnnouncements(gsFleet& fleet, gsTime now)
 {
-  auto& kept = fleet.KeptWords;
-  for (auto word = kept.begin(); word != kept.end();) {
-    bool old = now - word->second.At > fleet.Settings.KeptWordMemory;
-    word = old ? kept.erase(word) : std::next(word);
+  auto& retained = fleet.RetainedAnnouncements;
+  for (auto entry = retained.begin(); entry != retained.end();) {
+    bool expired =
+      now - entry->second.RetainedAt > fleet.Settings.AnnouncementRetention;
+    entry = expired ? retained.erase(entry) : std::next(entry);
   }
-  if (kept.size() >= fleet.Settings.KeptWordsMost) {
-    kept.erase(std::min_element(
-      kept.begin(), kept.end(),
-      [](auto const& a, auto const& b) { return a.second.At < b.second.At; }));
+  if (retained.size() >= fleet.Settings.MaxRetainedAnnouncements) {
+    retained.erase(std::min_element(
+      retained.begin(), retained.end(), [](auto const& a, auto const& b) {
+        return a.second.RetainedAt < b.second.RetainedAt;
+      }));
   }
 }
 
-/** Keeps the words of an upstream whose row goes. */
-void KeepWord(gsFleet& fleet, gsFleetRow const& row, gsTime now)
+/** Retains the announcements of an upstream whose row is removed. */
+void RetainAnnouncements(gsFleet& fleet, gsFleetRow const& row, gsTime now)
 {
-  if (!gsHolds(row.Heard, now)) {
+  if (!gsHasAnnouncedState(row.Announced, now)) {
     return;
   }
-  if (fleet.KeptWords.size() >= fleet.Settings.KeptWordsMost) {
-    ForgetWords(fleet, now);
+  if (fleet.RetainedAnnouncements.size() >=
+      fleet.Settings.MaxRetainedAnnouncements) {
+    EvictAnnouncements(fleet, now);
   }
-  fleet.KeptWords[row.Listed.Id] = { row.Listed.Born, row.Heard, now };
+  fleet.RetainedAnnouncements[row.Listed.Id] = { row.Listed.StartedAt,
+                                                 row.Announced, now };
 }
 
-/** The words of a row that comes, if it is of the incarnation that said them.
- */
-gsHeardWord TakeKeptWord(gsFleet& fleet, gsListedUpstream const& listed,
-                         gsTime now)
+/** Removes the retained announcements of an added upstream. \return The
+ * announcements if they are from the same incarnation and have not expired. */
+gsAnnouncedState TakeRetainedAnnouncements(gsFleet& fleet,
+                                           gsListedUpstream const& listed,
+                                           gsTime now)
 {
-  auto known = fleet.KeptWords.find(listed.Id);
-  if (known == fleet.KeptWords.end()) {
+  auto found = fleet.RetainedAnnouncements.find(listed.Id);
+  if (found == fleet.RetainedAnnouncements.end()) {
     return {};
   }
-  gsKeptWord kept = known->second;
-  fleet.KeptWords.erase(known);
-  bool holds =
-    kept.Born == listed.Born && now - kept.At <= fleet.Settings.KeptWordMemory;
-  return holds ? kept.Heard : gsHeardWord{};
+  gsRetainedAnnouncement retained = found->second;
+  fleet.RetainedAnnouncements.erase(found);
+  bool valid =
+    retained.StartedAt == listed.StartedAt &&
+    now - retained.RetainedAt <= fleet.Settings.AnnouncementRetention;
+  return valid ? retained.Announced : gsAnnouncedState{};
 }
 
-/** A row that stays: what was learned of it holds on. */
-void Renew(gsFleet& fleet, std::size_t index, gsListedUpstream const& listed)
+/** Updates the listing of a row and preserves its observations. */
+void UpdateListing(gsFleet& fleet, std::size_t index,
+                   gsListedUpstream const& listed)
 {
   gsFleetRow& row = fleet.Rows[index];
-  if (!row.GroupBefore) {
-    row.GroupBefore =
-      gsGroupUnder(fleet, fleet.Arrangements[listed.Service], row);
+  if (!row.PreviousGroup) {
+    row.PreviousGroup =
+      gsGroupInArrangement(fleet, fleet.Arrangements[listed.Service], row);
   }
   bool moved =
     row.Listed.Service != listed.Service || row.Listed.Hall != listed.Hall;
   if (!moved) {
-    fleet.LeavingRows -= row.Listed.Leaving ? 1 : 0;
-    fleet.LeavingRows += listed.Leaving ? 1 : 0;
+    fleet.LeavingRowCount -= row.Listed.Leaving ? 1 : 0;
+    fleet.LeavingRowCount += listed.Leaving ? 1 : 0;
     row.Listed = listed;
     return;
   }
-  Exit(fleet, index);
+  RemoveFromIndexes(fleet, index);
   row.Listed = listed;
-  Enter(fleet, index);
+  AddToIndexes(fleet, index);
 }
 
 } // namespace
 
-void gsFleetPut(gsFleet& fleet, gsListedUpstream const& listed, gsTime now)
+void gsFleetUpsert(gsFleet& fleet, gsListedUpstream const& listed, gsTime now)
 {
-  auto known = fleet.ById.find(listed.Id);
-  bool fresh = known == fleet.ById.end();
-  std::size_t index = fresh ? fleet.Rows.size() : known->second;
-  bool stays = !fresh && fleet.Rows[index].Listed.Born == listed.Born;
-  if (stays) {
-    Renew(fleet, index, listed);
+  auto found = fleet.ById.find(listed.Id);
+  bool isNew = found == fleet.ById.end();
+  std::size_t index = isNew ? fleet.Rows.size() : found->second;
+  bool isUpdate =
+    !isNew && fleet.Rows[index].Listed.StartedAt == listed.StartedAt;
+  if (isUpdate) {
+    UpdateListing(fleet, index, listed);
   } else {
-    if (fresh) {
+    if (isNew) {
       fleet.Rows.emplace_back();
     } else {
-      Exit(fleet, index);
+      RemoveFromIndexes(fleet, index);
       fleet.Rows[index] = {};
       fleet.Rows[index].RestartedAt = now;
     }
     fleet.Rows[index].Listed = listed;
     fleet.Rows[index].Hash = gsIncarnationHash(gsIncarnationOf(listed));
-    fleet.Rows[index].Heard = TakeKeptWord(fleet, listed, now);
-    Enter(fleet, index);
+    fleet.Rows[index].Announced =
+      TakeRetainedAnnouncements(fleet, listed, now);
+    AddToIndexes(fleet, index);
   }
-  gsTime cold = listed.ColdLeft;
-  fleet.Rows[index].ColdUntil = cold.count() > 0 ? now + cold : gsTime{};
+  gsTime coldTime = listed.RemainingColdTime;
+  fleet.Rows[index].ColdUntil =
+    coldTime.count() > 0 ? now + coldTime : gsTime{};
 }
 
-void gsFleetDrop(gsFleet& fleet, std::string_view id, gsTime now)
+void gsFleetRemove(gsFleet& fleet, std::string_view id, gsTime now)
 {
-  auto known = fleet.ById.find(std::string(id));
-  if (known == fleet.ById.end()) {
+  auto found = fleet.ById.find(std::string(id));
+  if (found == fleet.ById.end()) {
     return;
   }
-  std::size_t index = known->second;
+  std::size_t index = found->second;
   std::size_t last = fleet.Rows.size() - 1;
-  KeepWord(fleet, fleet.Rows[index], now);
-  Exit(fleet, index);
+  RetainAnnouncements(fleet, fleet.Rows[index], now);
+  RemoveFromIndexes(fleet, index);
   if (index != last) {
-    Exit(fleet, last);
+    RemoveFromIndexes(fleet, last);
     fleet.Rows[index] = std::move(fleet.Rows[last]);
-    Enter(fleet, index);
+    AddToIndexes(fleet, index);
   }
   fleet.Rows.pop_back();
 }
 
-void gsFleetTake(gsFleet& fleet, std::vector<gsListedUpstream> const& listed,
-                 gsTime now)
+void gsFleetReplaceListing(gsFleet& fleet,
+                           std::vector<gsListedUpstream> const& listed,
+                           gsTime now)
 {
   std::set<std::string_view> ids;
   for (gsListedUpstream const& entry : listed) {
     ids.insert(entry.Id);
   }
-  std::vector<std::string> gone;
+  std::vector<std::string> removed;
   for (gsFleetRow const& row : fleet.Rows) {
     if (ids.count(row.Listed.Id) == 0) {
-      gone.push_back(row.Listed.Id);
+      removed.push_back(row.Listed.Id);
     }
   }
-  for (std::string const& id : gone) {
-    gsFleetDrop(fleet, id, now);
+  for (std::string const& id : removed) {
+    gsFleetRemove(fleet, id, now);
   }
   for (gsListedUpstream const& entry : listed) {
-    gsFleetPut(fleet, entry, now);
+    gsFleetUpsert(fleet, entry, now);
   }
 }
 
-void gsNoteEvacuated(gsFleet& fleet, std::set<std::string> const& halls,
-                     gsTime now)
+void gsSetEvacuatedHalls(gsFleet& fleet, std::set<std::string> const& halls,
+                         gsTime now)
 {
-  for (auto known = fleet.Evacuated.begin(); known != fleet.Evacuated.end();) {
-    bool holds = halls.count(known->first) != 0;
-    known = holds ? std::next(known) : fleet.Evacuated.erase(known);
+  for (auto entry = fleet.EvacuatedSince.begin();
+       entry != fleet.EvacuatedSince.end();) {
+    bool isEvacuated = halls.count(entry->first) != 0;
+    entry = isEvacuated ? std::next(entry) : fleet.EvacuatedSince.erase(entry);
   }
   for (std::string const& hall : halls) {
-    fleet.Evacuated.emplace(hall, now);
+    fleet.EvacuatedSince.emplace(hall, now);
   }
 }
 
 bool gsIsLeaving(gsFleetRow const& row)
 {
-  return row.Listed.Leaving || row.Heard.Leaving;
+  return row.Listed.Leaving || row.Announced.Leaving;
 }
 
-bool gsTakesWork(gsFleet const& fleet, gsFleetRow const& row, gsTime now)
+bool gsAcceptsRequests(gsFleet const& fleet, gsFleetRow const& row, gsTime now)
 {
-  bool evacuated =
-    !fleet.Evacuated.empty() && fleet.Evacuated.count(row.Listed.Hall) != 0;
-  return !gsIsLeaving(row) && !evacuated && !gsIsResting(row.Heard, now);
+  bool evacuated = !fleet.EvacuatedSince.empty() &&
+                   fleet.EvacuatedSince.count(row.Listed.Hall) != 0;
+  return !gsIsLeaving(row) && !evacuated &&
+         !gsIsBackingOff(row.Announced, now);
 }
 
-bool gsNoteWord(gsFleet& fleet, gsIncarnation const& upstream,
-                gsUpstreamWord const& word, gsTime now)
+bool gsApplyAnnouncement(gsFleet& fleet, gsIncarnation const& upstream,
+                         gsUpstreamAnnouncement const& word, gsTime now)
 {
-  if (word.Empty()) {
+  if (word.IsEmpty()) {
     return false;
   }
   if (gsFleetRow* row = gsFleetFind(fleet, upstream)) {
-    return gsHear(row->Heard, word, now);
+    return gsMergeAnnouncement(row->Announced, word, now);
   }
   if (gsFleetFind(fleet, upstream.Id) != nullptr) {
-    return false; // Of an earlier start.
+    return false; // From an earlier incarnation.
   }
-  auto known = fleet.KeptWords.find(upstream.Id);
-  bool same =
-    known != fleet.KeptWords.end() && known->second.Born == upstream.Born;
-  if (!same && fleet.KeptWords.size() >= fleet.Settings.KeptWordsMost) {
-    ForgetWords(fleet, now);
+  auto found = fleet.RetainedAnnouncements.find(upstream.Id);
+  bool same = found != fleet.RetainedAnnouncements.end() &&
+              found->second.StartedAt == upstream.StartedAt;
+  if (!same && fleet.RetainedAnnouncements.size() >=
+                 fleet.Settings.MaxRetainedAnnouncements) {
+    EvictAnnouncements(fleet, now);
   }
-  gsKeptWord& kept = fleet.KeptWords[upstream.Id];
-  kept = same ? kept : gsKeptWord{ upstream.Born, {}, now };
-  return gsHear(kept.Heard, word, now);
+  gsRetainedAnnouncement& retained = fleet.RetainedAnnouncements[upstream.Id];
+  retained =
+    same ? retained : gsRetainedAnnouncement{ upstream.StartedAt, {}, now };
+  return gsMergeAnnouncement(retained.Announced, word, now);
 }
 
 gsFleetRow* gsFleetFind(gsFleet& fleet, std::string_view id)
@@ -271,151 +294,165 @@
 gsFleetRow* gsFleetFind(gsFleet& fleet, gsIncarnation const& incarnation)
 {
   gsFleetRow* row = gsFleetFind(fleet, incarnation.Id);
-  bool same = row != nullptr && row->Listed.Born == incarnation.Born;
+  bool same = row != nullptr && row->Listed.StartedAt == incarnation.StartedAt;
   return same ? row : nullptr;
 }
 
 std::uint32_t gsIncarnationHash(gsIncarnation const& incarnation)
 {
   return static_cast<std::uint32_t>(
-    gsRendezvousWeight(incarnation.Id, incarnation.Born));
+    gsRendezvousWeight(incarnation.Id, incarnation.StartedAt));
 }
 
 gsIncarnation gsIncarnationOf(gsListedUpstream const& listed)
 {
-  return { listed.Id, listed.Born };
+  return { listed.Id, listed.StartedAt };
 }
 
-gsOpenWork gsOwnWork(gsFleetRow const& row, gsTime now)
+gsOutstandingLoad gsOwnLoad(gsFleetRow const& row, gsTime now)
 {
-  gsOpenWork work = row.Own;
+  gsOutstandingLoad work = row.OwnLoad;
   if (now < row.FullUntil) {
-    work.Running += row.Listed.Slots;
+    work.OpenAttempts += row.Listed.Slots;
   }
   return work;
 }
 
-gsOpenWork gsWorkAt(gsFleet const& fleet, gsFleetRow const& row, gsTime now)
+gsOutstandingLoad gsTotalLoad(gsFleet const& fleet, gsFleetRow const& row,
+                              gsTime now)
 {
-  gsOpenWork work = gsOwnWork(row, now);
-  if (now - row.OthersAt <= fleet.Settings.OthersMemory) {
-    work.Running += row.Others.Running;
-    work.ReadTokens += row.Others.ReadTokens;
-    work.MemoryTokens += row.Others.MemoryTokens;
+  gsOutstandingLoad work = gsOwnLoad(row, now);
+  if (now - row.OthersReportedAt <= fleet.Settings.OthersLoadLifetime) {
+    work.OpenAttempts += row.OthersLoad.OpenAttempts;
+    work.PendingPromptTokens += row.OthersLoad.PendingPromptTokens;
+    work.MemoryTokens += row.OthersLoad.MemoryTokens;
   }
   return work;
 }
 
-double gsPaceOf(gsFleetRow const& row)
+double gsEventIntervalMillis(gsFleetRow const& row)
 {
-  if (row.Pace <= 0 || row.OthersPace <= 0) {
-    return std::max(row.Pace, row.OthersPace);
+  if (row.EventIntervalMillis <= 0 || row.OthersEventIntervalMillis <= 0) {
+    return std::max(row.EventIntervalMillis, row.OthersEventIntervalMillis);
   }
-  return std::min(row.Pace, row.OthersPace);
+  return std::min(row.EventIntervalMillis, row.OthersEventIntervalMillis);
 }
 
-void gsNotePause(gsFleet& fleet, gsFleetRow& row, gsTime pause, gsTime now)
+void gsRecordEventInterval(gsFleet& fleet, gsFleetRow& row, gsTime interval,
+                           gsTime now)
 {
-  gsNoteEvent(fleet.Paces[row.Listed.Service], pause);
-  double millis = gsToSeconds(pause) * 1e3;
-  row.LeastPause = row.Pauses == 0 ? millis : std::min(row.LeastPause, millis);
-  ++row.Pauses;
-  if (row.Pauses >= PaceEvents) {
-    bool isOld = row.Pace <= 0 || now - row.PaceSince > PaceSpan;
-    row.Pace = isOld ? row.LeastPause : std::min(row.Pace, row.LeastPause);
-    gsNoteWorking(fleet, row);
-    row.PaceSince = isOld ? now : row.PaceSince;
-    row.Pauses = 0;
+  gsRecordServiceEventInterval(fleet.EngineTimings[row.Listed.Service],
+                               interval);
+  double millis = gsToSeconds(interval) * 1e3;
+  row.SampleMinMillis =
+    row.SampleCount == 0 ? millis : std::min(row.SampleMinMillis, millis);
+  ++row.SampleCount;
+  if (row.SampleCount >= IntervalsPerSample) {
+    bool isNewWindow = row.EventIntervalMillis <= 0 ||
+                       now - row.EventIntervalWindowStart > MinIntervalWindow;
+    row.EventIntervalMillis =
+      isNewWindow ? row.SampleMinMillis
+                  : std::min(row.EventIntervalMillis, row.SampleMinMillis);
+    gsMarkReportable(fleet, row);
+    row.EventIntervalWindowStart =
+      isNewWindow ? now : row.EventIntervalWindowStart;
+    row.SampleCount = 0;
   }
 }
 
-void gsForgetPaces(gsFleet& fleet, gsTime now)
+void gsExpireEventIntervals(gsFleet& fleet, gsTime now)
 {
-  gsForEachWorking(fleet, now, [now](gsFleetRow& row) {
-    row.Pace = now - row.PaceSince > PaceMemory ? 0 : row.Pace;
+  gsForEachReportable(fleet, now, [now](gsFleetRow& row) {
+    row.EventIntervalMillis =
+      now - row.EventIntervalWindowStart > MinIntervalLifetime
+        ? 0
+        : row.EventIntervalMillis;
   });
 }
 
-void gsNoteWorking(gsFleet& fleet, gsFleetRow& row)
+void gsMarkReportable(gsFleet& fleet, gsFleetRow& row)
 {
-  if (!row.Working) {
-    row.Working = true;
-    fleet.Working.push_back(row.Hash);
+  if (!row.IsReportable) {
+    row.IsReportable = true;
+    fleet.ReportableRows.push_back(row.Hash);
   }
 }
 
-void gsNoteParts(gsFleet const& fleet, gsFleetRow& row,
-                 std::vector<gsPromptPart> const& parts, gsTime now)
+void gsRecordCachedParts(gsFleet const& fleet, gsFleetRow& row,
+                         std::vector<gsPromptPart> const& parts, gsTime now)
 {
   for (gsPromptPart const& part : parts) {
-    row.Parts[part.Name] = now;
+    row.CachedParts[part.Id] = now;
   }
-  if (row.Parts.size() > fleet.Settings.PartsMost) {
-    Forget(fleet, row, now);
+  if (row.CachedParts.size() > fleet.Settings.MaxParts) {
+    ExpireParts(fleet, row, now);
   }
 }
 
-double gsFailShare(gsFleetRow const& row, gsTime now)
+double gsFailureRate(gsFleetRow const& row, gsTime now)
 {
-  double halves = gsToSeconds(now - row.FailAt) / gsToSeconds(FailHalfLife);
-  return row.FailShare * std::exp2(-std::max(0.0, halves));
+  double halfLives =
+    gsToSeconds(now - row.FailureRateUpdatedAt) / gsToSeconds(FailureHalfLife);
+  return row.FailureRate * std::exp2(-std::max(0.0, halfLives));
 }
 
-void gsNoteOutcome(gsFleetRow& row, bool failed, gsTime now)
+void gsRecordOutcome(gsFleetRow& row, bool failed, gsTime now)
 {
-  double share = gsFailShare(row, now);
-  row.FailShare = share + FailSmoothing * ((failed ? 1.0 : 0.0) - share);
-  row.FailAt = now;
+  double rate = gsFailureRate(row, now);
+  row.FailureRate = rate + FailureSmoothing * ((failed ? 1.0 : 0.0) - rate);
+  row.FailureRateUpdatedAt = now;
   if (!failed) {
-    row.Unreachable = 0;
+    row.ConsecutiveConnectFailures = 0;
   }
 }
 
-void gsNoteTurnedAway(gsFleet& fleet, gsFleetRow& row, gsTime now)
+void gsRecordRejection(gsFleet& fleet, gsFleetRow& row, gsTime now)
 {
-  row.FullUntil = now + FullMemory;
-  gsNoteWorking(fleet, row);
+  row.FullUntil = now + FullDuration;
+  gsMarkReportable(fleet, row);
 }
 
-void gsNoteUnreachable(gsFleetRow& row, gsTime now)
+void gsRecordUnreachable(gsFleetRow& row, gsTime now)
 {
-  std::uint32_t doublings = std::min(row.Unreachable, MaxAvoidDoublings);
-  row.AvoidUntil = now + AvoidBase * (std::int64_t{ 1 } << doublings);
-  ++row.Unreachable;
+  std::uint32_t doublings =
+    std::min(row.ConsecutiveConnectFailures, MaxBackoffDoublings);
+  row.AvoidUntil = now + BaseBackoff * (std::int64_t{ 1 } << doublings);
+  ++row.ConsecutiveConnectFailures;
 }
 
-void gsNoteHeard(gsFleet& fleet, gsFleetRow& row, gsTime now)
+void gsRecordReceived(gsFleet& fleet, gsFleetRow& row, gsTime now)
 {
-  row.LastHeard = now;
+  row.LastReceivedAt = now;
   if (row.Listed.Hall != fleet.Settings.Hall) {
-    fleet.HallHeard[row.Listed.Hall] = now;
+    fleet.HallLastReceivedAt[row.Listed.Hall] = now;
   }
-  row.Unreachable = 0;
+  row.ConsecutiveConnectFailures = 0;
   row.AvoidUntil = gsTime{};
 }
 
-bool gsNoteNoConnection(gsFleet& fleet, gsFleetRow& row, gsTime now)
+bool gsRecordConnectFailure(gsFleet& fleet, gsFleetRow& row, gsTime now)
 {
-  gsNoteUnreachable(row, now);
+  gsRecordUnreachable(row, now);
   if (row.Listed.Hall == fleet.Settings.Hall) {
     return false;
   }
   gsRefreshHalls(fleet, now);
-  return gsHallNoteFailure(fleet.Halls, fleet.Settings.HallReach,
-                           row.Listed.Hall, row.Listed.Id, now);
+  return gsHallRecordFailure(fleet.HallReachability, fleet.Settings.HallReach,
+                             row.Listed.Hall, row.Listed.Id, now);
 }
 
 void gsRefreshHalls(gsFleet& fleet, gsTime now)
 {
-  gsHallForget(fleet.Halls, fleet.Settings.HallReach, now);
-  for (auto const& [hall, reach] : fleet.Halls) {
-    if (reach.Failed.empty()) {
+  gsHallExpireFailures(fleet.HallReachability, fleet.Settings.HallReach, now);
+  for (auto const& [hall, reach] : fleet.HallReachability) {
+    if (reach.FailedUpstreams.empty()) {
       continue;
     }
-    auto heard = fleet.HallHeard.find(hall);
-    bool back = heard != fleet.HallHeard.end() &&
-                gsHallNoteHeard(fleet.Halls, hall, heard->second);
-    if (back) {
+    auto receivedAt = fleet.HallLastReceivedAt.find(hall);
+    bool recovered =
+      receivedAt != fleet.HallLastReceivedAt.end() &&
+      gsHallRecordResponse(fleet.HallReachability, hall, receivedAt->second);
+    if (recovered) {
       for (gsFleetRow& row : fleet.Rows) {
         row.AvoidUntil = row.Listed.Hall == hall ? gsTime{} : row.AvoidUntil;
       }
--- a/Source/Core/gsFleet.h
+++ b/Source/Core/gsFleet.h
@@ -1,12 +1,15 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * The upstreams as one host sees them. A row holds what the platform lists of
- * an upstream and what this host has learned of it: its own open attempts
- * exactly, the other hosts' by their last word, failures, and which prompt
- * parts it has read lately. gsPlacement chooses one for a request,
- * gsArrangement divides them between kinds of requests. Nothing here reads a
- * clock or does I/O.
+ * One host's table of all upstreams. A row combines the platform's listing of
+ * an upstream with local observations: the exact load from this host's
+ * attempts, the load last reported by other hosts, failures, and recently
+ * processed prompt parts. gsPlacement chooses an upstream for a request;
+ * gsArrangement divides the engines of a service between groups of requests.
+ *
+ * Cached prompt parts, retained announcements and the memory of failures are
+ * bounded by gsFleetSettings. The state is one plain struct: callers pass in
+ * the current time, and no function reads a clock or performs I/O.
  */
 #pragma once
 
@@ -20,357 +23,406 @@
 #include <vector>
 
 #include "gsEngineOrder.h"
-#include "gsHallReach.h"
+#include "gsHallReachability.h"
 #include "gsInterference.h"
 #include "gsLoadExchange.h"
 #include "gsRateLimit.h"
 #include "gsTypes.h"
-#include "gsUpstreamWord.h"
+#include "gsUpstreamAnnouncement.h"
 
-/** A part of a prompt; parts with the same name are the same text. */
+/** A part of a prompt. Parts with the same Id have the same text. */
 struct gsPromptPart
 {
-  std::uint64_t Name = 0;
+  std::uint64_t Id = 0;
   std::uint32_t Tokens = 0;
 };
 
-/** One start of an upstream: it may start again under its id, and then knows
- * nothing of before. */
+/** One start of an upstream. A restart under the same id creates a new
+ * incarnation, which has no state of the previous one. */
 struct gsIncarnation
 {
   std::string Id;
-  std::uint64_t Born = 0; ///< Unix milliseconds; 0 where none is told.
+  std::uint64_t StartedAt = 0; ///< Unix milliseconds; 0 if not reported.
 
   friend bool operator==(gsIncarnation const& a, gsIncarnation const& b)
   {
-    return a.Born == b.Born && a.Id == b.Id;
+    return a.StartedAt == b.StartedAt && a.Id == b.Id;
   }
 };
 
-/** An upstream as the platform lists it. */
+/** An upstream's entry in the platform's listing. */
 struct gsListedUpstream
 {
-  std::string Id; ///< The same after it has started again.
-  /** When this incarnation of it started, Unix milliseconds; 0 where the
-   * platform tells none: the id names one incarnation then. */
-  std::uint64_t Born = 0;
+  std::string Id; ///< Unchanged by a restart.
+  /** Start time of this incarnation, Unix milliseconds. 0 if the platform
+   * reports none; the id alone then identifies the incarnation. */
+  std::uint64_t StartedAt = 0;
   std::string Service;
-  std::string Address; ///< IP:port; another upstream may have it later.
+  std::string Address; ///< IP:port; may be reassigned later.
   std::string Hall;
-  std::uint32_t Slots = 1;
-  bool Leaving = false;
-  /** The platform may take it away at short notice, with all such upstreams of
-   * its hall. */
+  std::uint32_t Slots = 1; ///< Requests that it processes concurrently.
+  bool Leaving = false;    ///< It is shutting down and gets no new requests.
+  /** The platform may withdraw it at short notice, together with all other
+   * withdrawable upstreams of its hall. */
   bool Withdrawable = false;
-  gsTime ColdLeft{}; ///< For how long it was slow yet, when its row was read.
+  gsTime
+    RemainingColdTime{}; ///< Remaining cold time when the listing was read.
 };
 
-/** Open work at an upstream. */
-struct gsOpenWork
+/** Load of an upstream from attempts without a complete answer. */
+struct gsOutstandingLoad
 {
-  std::uint32_t Running = 0;
-  std::uint64_t ReadTokens = 0;   ///< Of prompts without a first token yet.
-  std::uint64_t MemoryTokens = 0; ///< Of prompts and answers together.
+  std::uint32_t OpenAttempts = 0; ///< Attempts, including those queued.
+  std::uint64_t PendingPromptTokens =
+    0;                            ///< Prompts without a first output token.
+  std::uint64_t MemoryTokens = 0; ///< Prompts and answers combined.
 };
 
-/** Work that a service was lately asked for; sums that decay with time. */
+/** Recent demand for a service, as exponentially decaying sums. */
 struct gsDemand
 {
-  double Long = 0;  ///< Of requests that interfere with others; tokens.
-  double Tight = 0; ///< Of all others; tokens.
-  gsTime At{};
-  /** The same of all other hosts, by their last word. */
-  double OthersLong = 0;
-  double OthersTight = 0;
+  /** Engine time of requests of gsFleetGroup::Long, in prompt tokens. */
+  double LongTokens = 0;
+  /** Engine time of all other requests, in prompt tokens. */
+  double TightTokens = 0;
+  gsTime DecayedAt{}; ///< When the decay was last applied.
+  /** The same sums of all other hosts combined, as last reported. */
+  double OthersLongTokens = 0;
+  double OthersTightTokens = 0;
   /**
-   * How long an attempt holds a slot of an engine for long prompts, and of any
-   * other; smoothed, milliseconds, zero until one has ended.
+   * Smoothed time for which an attempt holds a slot of an engine for long
+   * prompts, and of any other engine; milliseconds, zero until an attempt has
+   * ended.
    */
-  double HoldLong = 0;
-  double HoldTight = 0;
-  gsTime Since{};     ///< Of the first request of any host; zero before.
-  gsTime DecidedAt{}; ///< When this host last decided how to divide engines,
-  gsTime SlowAt{};    ///< and which of them are slow.
+  double LongHoldMillis = 0;
+  double TightHoldMillis = 0;
+  gsTime FirstRequestAt{}; ///< First request of any host; zero before.
+  gsTime DecidedAt{};      ///< Last time this host decided the arrangement.
+  gsTime
+    SlowDecidedAt{}; ///< Last time this host decided which engines are slow.
 };
 
-/** An upstream's row. */
+/** Listing, load and observations of one upstream. */
 struct gsFleetRow
 {
   gsListedUpstream Listed;
-  std::uint32_t Hash = 0; ///< Of the incarnation; names it between hosts.
-  /** When this host learned that it had started again under its id; zero if it
-   * has not. */
+  /** Hash of the incarnation; identifies it in messages between hosts. */
+  std::uint32_t Hash = 0;
+  /** When this host detected a restart under the same id; zero if there was
+   * none. */
   gsTime RestartedAt{};
-  /** It is one of the slow engines of its service, as was decided for all. */
-  bool Slow = false;
-  /** It is cold until then, and collapses above a few requests a second. */
+  /** Whether the arrangement shared by all hosts lists it as slow. */
+  bool IsSlow = false;
+  /** It is cold until then and overloads above a few requests per second. */
   gsTime ColdUntil{};
-  gsTime ColdSentAt{}; ///< When this host last sent it one while cold.
+  gsTime ColdSentAt{}; ///< Last request of this host while it was cold.
   /**
-   * Group that the engine was in before the last change of the division;
-   * absent for one that was not listed then.
+   * Group of the engine before the last change of the arrangement; empty if
+   * the engine was not listed at that time.
    */
-  std::optional<gsFleetGroup> GroupBefore;
-  gsOpenWork Own;    ///< Attempts of this host; exact.
-  gsOpenWork Others; ///< Of all other hosts, by their last word.
-  gsTime OthersAt{}; ///< When the oldest part of that word was said.
-  /** Gets nothing until then, after it was not reachable. */
+  std::optional<gsFleetGroup> PreviousGroup;
+  gsOutstandingLoad OwnLoad; ///< Attempts of this host; exact.
+  gsOutstandingLoad
+    OthersLoad;              ///< Sum of the last reports of all other hosts.
+  gsTime OthersReportedAt{}; ///< Time of the oldest report in OthersLoad.
+  /** Backoff after connection failures: no requests are sent until then. */
   gsTime AvoidUntil{};
-  std::uint32_t Unreachable = 0; ///< Times in a row.
-  /** It has turned work away lately, and counts as full until then: a price,
-   * where Heard excludes it for the rest that it asked for. */
+  std::uint32_t ConsecutiveConnectFailures =
+    0; ///< Consecutive connection failures.
+  /** It has rejected a request recently and counts as full until then. This
+   * only raises its cost, whereas a pause that it has announced excludes it.
+   */
   gsTime FullUntil{};
-  /** What it has said of itself in answers. Of this incarnation; kept when the
-   * row is written anew, goes or comes back. */
-  gsHeardWord Heard;
-  /** Share of failed attempts, smoothed; decays with time. */
-  double FailShare = 0;
-  gsTime FailAt{};
-  gsTime LastHeard{};             ///< Last byte of any answer.
-  gsTime KeepIdle = gsSeconds(4); ///< Longest rest of a kept connection.
+  /** What this incarnation has announced in its answers. Preserved when the
+   * row is updated, and when it is removed and added again. */
+  gsAnnouncedState Announced;
+  /** Smoothed share of failed attempts at FailureRateUpdatedAt; decays with
+   * time. */
+  double FailureRate = 0;
+  gsTime FailureRateUpdatedAt{};
+  gsTime LastReceivedAt{}; ///< Last byte of any answer.
+  gsTime MaxConnectionIdle =
+    gsSeconds(4); ///< Maximum idle time of a reused
+                  ///< connection; updated from answers.
   /**
-   * Least pause between an engine's events of late, milliseconds: how fast it
-   * is when nothing holds it up. Zero until it has sent some.
+   * Recent minimum interval between events of the engine's streams in
+   * milliseconds, which is its speed without interference. Zero until enough
+   * events were received.
    */
-  double Pace = 0;
-  gsTime PaceSince{};       ///< Begin of the time over which it is the least.
-  double LeastPause = 0;    ///< Of the events since; milliseconds,
-  std::uint32_t Pauses = 0; ///< and how many they are.
-  double OthersPace = 0;    ///< Least that another host has measured.
-  /** Parts read there by this host's requests, newest last. */
-  std::unordered_map<std::uint64_t, gsTime> Parts;
-  /** It stands in gsFleet::Working. */
-  bool Working = false;
+  double EventIntervalMillis = 0;
+  gsTime EventIntervalWindowStart{}; ///< Start of the window of that minimum.
+  double SampleMinMillis = 0; ///< Minimum of the current sample; milliseconds.
+  std::uint32_t SampleCount = 0; ///< Intervals in the current sample.
+  double OthersEventIntervalMillis =
+    0; ///< Minimum reported by any other host.
+  /** Prompt parts that this host's requests have sent there, by
+   * gsPromptPart::Id, with the time of the last use. */
+  std::unordered_map<std::uint64_t, gsTime> CachedParts;
+  /** Whether the row is listed in gsFleet::ReportableRows. */
+  bool IsReportable = false;
 };
 
-/** Words of an upstream whose row is away for now. */
-struct gsKeptWord
+/** Announcements of an upstream that currently has no row. */
+struct gsRetainedAnnouncement
 {
-  std::uint64_t Born = 0;
-  gsHeardWord Heard;
-  gsTime At{}; ///< When it was put aside.
+  std::uint64_t StartedAt = 0; ///< Incarnation that made the announcements.
+  gsAnnouncedState Announced;
+  gsTime RetainedAt{}; ///< Start of the retention.
 };
 
-/** What the choice depends on, beside the rows. */
+/** Settings of placement and arrangement, and this host's location. Costs are
+ * expressed in prompt tokens that are processed before a request's first
+ * output token. */
 struct gsFleetSettings
 {
-  std::string Host; ///< This host's name,
-  std::string Hall; ///< and its hall.
-  /** The region of each hall; empty where there is but one. */
+  std::string Host; ///< Name of this host.
+  std::string Hall; ///< Hall of this host.
+  /** Region by hall; empty if there is only one region. */
   std::map<std::string, std::string, std::less<>> Regions;
-  double RunningTokens = 40;   ///< Cost of one running request.
-  double OtherHallTokens = 60; ///< Cost of an upstream of another hall.
-  double FailTokens = 20000;   ///< Cost of an upstream that always fails.
-  double QueuedTokens = 1500;  ///< Cost of each request above the slots.
-  /** Cost of reading a shared token that another engine holds, above 1. */
-  double AgainWeight = 100;
-  /** The same where that engine can hand it over. */
-  double MovedWeight = 10;
-  /** Fewer shared tokens than this are not worth the handing over. */
-  std::uint32_t MinMovedTokens = 64;
-  /** Cost of an engine that is for the other kind, */
-  double OtherGroupTokens = 30000;
-  /** and, for a long prompt, of holding up the tight streams there. */
-  double HoldUpTokens = 600000;
-  /** Cost of a token that waits, while the request can be in target. */
-  double EarlyWeight = 0.2;
-  /** Cost of a token that waits beyond TargetShare of the target. */
-  double LateWeight = 1;
+  double RunningCost = 40;    ///< Cost of one running request.
+  double OtherHallCost = 60;  ///< Cost of an upstream of another hall.
+  double FailureCost = 20000; ///< Cost of an upstream that always fails.
+  double QueuedCost = 1500;   ///< Cost of each request above the slots.
+  /** Additional cost per token of processing a shared prompt part again that
+   * another engine has cached. */
+  double ReprocessWeight = 100;
+  /** The same if that engine can transfer the part. */
+  double TransferWeight = 10;
+  /** Minimum number of shared tokens for which a transfer is requested. */
+  std::uint32_t MinTransferTokens = 64;
+  /** Cost of an engine that is assigned to the other group. */
+  double OtherGroupCost = 30000;
+  /** Cost of a long prompt at an engine for tight streams, which it delays. */
+  double InterferenceCost = 600000;
+  /** Cost of each token of waiting time up to TargetShare of the target. */
+  double InTargetWaitWeight = 0.2;
+  /** Cost of each token of waiting time beyond TargetShare of the target. */
+  double LateWaitWeight = 1;
   double TargetShare = 0.5;
   /**
-   * A step of an engine makes one token of each request that it runs, and
-   * takes as long as reading so many prompt tokens.
+   * Duration of one decoding step of an engine, in prompt tokens that it
+   * processes in that time. A step generates one token for each running
+   * request.
    */
   double StepTokens = 240;
-  bool Groups = true;
-  /** Cost of an engine whose memory the request would fill. */
-  double FullTokens = 5000;
-  /** Cost of an answer that would surely begin beyond its target. */
-  double MissTokens = 450000;
+  bool DivideEngines = true; ///< Divide engines between groups of requests.
+  /** Cost of an engine whose memory the request would exhaust. */
+  double MemoryExhaustedCost = 5000;
+  /** Cost of an answer that would certainly begin after its target. */
+  double TargetMissCost = 450000;
   /**
-   * Engines that hold nothing of a subject cost up to so much, in an order of
-   * the subject's own. Without it all hosts send what leaves its engine to the
-   * one that their view, some tenths of a second old, shows as the emptiest.
+   * Upper bound of the cost added to engines that hold no part of a subject,
+   * in an order that differs between subjects. Without it, all hosts send the
+   * requests that leave an engine to the one that appears emptiest in their
+   * load data, which is some tenths of a second old.
    */
-  double SpreadTokens = 100000;
-  /** Share of an engine's memory that requests may take together. */
-  double MemoryShare = 0.95;
-  /** Demand is known well enough to divide engines by it after so long. */
-  gsTime DemandPatience = gsMilliseconds(300);
-  /** Long enough for a steady border, short enough to follow a burst. */
+  double MaxSpreadCost = 100000;
+  /** Share of an engine's memory that all requests may use together. */
+  double MaxMemoryShare = 0.95;
+  /** Time after the first request from which demand is known well enough to
+   * divide engines by it. */
+  gsTime MinDemandTime = gsMilliseconds(300);
+  /** Long enough for a stable group size, short enough to follow a burst. */
   gsTime DemandHalfLife = gsSeconds(2);
   /**
-   * Each change of the division moves subjects; the more engines there are,
-   * the more of them cross the border each time. So it is decided no more
-   * often than after the first time and the second for each engine, and which
-   * engines are slow no more often than after the third for each.
+   * Minimum interval between decisions on the arrangement: a constant plus a
+   * time per engine of the service. Each change moves subjects to other
+   * engines, and the more engines there are, the more subjects it moves.
    */
-  gsTime DecisionGap = gsMilliseconds(250);
-  gsTime DecisionGapOfEach = gsMilliseconds(7);
-  gsTime SlowGapOfEach = gsMilliseconds(30);
-  gsTime PartMemory = gsSeconds(20);
-  /** Older words are not believed; see gsLoadSettings::MostAge. */
-  gsTime OthersMemory = gsMilliseconds(7500);
-  std::size_t PartsMost = 2000; ///< Remembered for each upstream.
-  /** Words of upstreams without a row are kept for so long: a platform that is
-   * away for minutes loses rows and brings them back. */
-  gsTime KeptWordMemory = std::chrono::minutes(10);
-  std::size_t KeptWordsMost = 1024; ///< Of a fleet's releases: some 100 KB.
-  gsHallReachSettings HallReach;
+  gsTime DecisionInterval = gsMilliseconds(250);
+  gsTime DecisionIntervalPerEngine = gsMilliseconds(7);
+  /** Minimum interval between decisions on which engines are slow, per engine
+   * of the service. */
+  gsTime SlowDecisionIntervalPerEngine = gsMilliseconds(30);
+  gsTime PartRetention = gsSeconds(20); ///< Retention of cached prompt parts.
+  /** Lifetime of other hosts' load reports; see gsLoadSettings::MostAge. */
+  gsTime OthersLoadLifetime = gsMilliseconds(7500);
+  std::size_t MaxParts = 2000; ///< Maximum cached parts per upstream.
+  /** Retention of announcements of upstreams without a row. A platform that
+   * is unavailable for minutes loses rows and lists them again later. */
+  gsTime AnnouncementRetention = std::chrono::minutes(10);
+  /** Sufficient for the releases of a whole fleet; about 100 KB. */
+  std::size_t MaxRetainedAnnouncements = 1024;
+  gsHallReachabilitySettings HallReach;
 };
 
 /**
- * All upstreams. Rows come, change and go one by one; what that takes does not
- * grow with their number, but for moving a few bytes of each in the orders.
+ * All upstreams with their indexes. The cost of adding, updating or removing
+ * one row does not grow with the number of rows, except for moving a few bytes
+ * per row of its service in the sorted indexes.
  */
 struct gsFleet
 {
   gsFleetSettings Settings;
-  std::vector<gsFleetRow> Rows; ///< In no order; the last fills a gap.
+  std::vector<gsFleetRow>
+    Rows; ///< Unordered; the last row replaces a removed one.
   std::unordered_map<std::string, std::size_t> ById;
-  /** By gsFleetRow::Hash; of two with the same one of them. */
+  /** By gsFleetRow::Hash; one of the rows if several have the same hash. */
   std::unordered_map<std::uint32_t, std::size_t> ByHash;
-  /** Rows by service: slow engines first, then by hash. */
+  /** Rows by service; slow engines first, then by hash. */
   std::unordered_map<std::string, std::vector<std::size_t>> ByService;
-  /** Rows by service, on the ring from which subjects' homes are taken. */
+  /** Rows by service on the hash ring that determines the preferred engines
+   * of subjects. */
   std::unordered_map<std::string, gsEngineRing> Rings;
-  std::map<std::string, std::size_t> HallRows; ///< How many each hall has.
-  std::size_t LeavingRows = 0;                 ///< Of upstreams that leave.
-  /** Hashes of the rows that this host may have something to tell of. */
-  std::vector<std::uint32_t> Working;
-  std::unordered_map<std::string, gsDemand> Demand; ///< By service.
-  /** How each service's engines are divided, as last decided by any host. */
+  std::map<std::string, std::size_t> RowsPerHall; ///< Number of rows by hall.
+  std::size_t LeavingRowCount = 0; ///< Number of rows listed as leaving.
+  /** Hashes of the rows with state that this host may have to report to other
+   * hosts. */
+  std::vector<std::uint32_t> ReportableRows;
+  std::unordered_map<std::string, gsDemand>
+    Demand; ///< Recent demand by service.
+  /** Latest known arrangement of each service's engines, by service. */
   std::unordered_map<std::string, gsEngineArrangement> Arrangements;
-  gsHallReaches Halls; ///< Which other halls can be reached.
-  /** When any upstream of a hall was last heard from; by hall. */
-  std::map<std::string, gsTime, std::less<>> HallHeard;
-  /** Halls whose upstreams get nothing new, by the operator's word, and since
-   * when. */
-  std::map<std::string, gsTime, std::less<>> Evacuated;
-  std::unordered_map<std::string, gsEnginePace> Paces; ///< By service.
-  /** By id; none of an upstream that has a row. */
-  std::unordered_map<std::string, gsKeptWord> KeptWords;
-  gsRateLimits RateLimits; ///< By gsFleetRow::Hash.
+  gsHallReachabilityMap HallReachability; ///< Reachability of other halls.
+  /** When bytes were last received from any upstream of another hall; by
+   * hall. */
+  std::map<std::string, gsTime, std::less<>> HallLastReceivedAt;
+  /** Halls that the operator has evacuated, with the start time. Their
+   * upstreams get no new requests. */
+  std::map<std::string, gsTime, std::less<>> EvacuatedSince;
+  std::unordered_map<std::string, gsEngineTiming>
+    EngineTimings; ///< Engine speed by service.
+  /** Announcements of upstreams without a row; by id. */
+  std::unordered_map<std::string, gsRetainedAnnouncement>
+    RetainedAnnouncements;
+  gsRateLimits RateLimits; ///< Limits by gsFleetRow::Hash.
 };
 
 /**
- * Takes an upstream in as it is listed now. A row that stays keeps what was
- * learned; one that has started again keeps nothing.
+ * Adds an upstream or updates its listing. Observations are preserved unless
+ * the upstream has been restarted.
  */
-void gsFleetPut(gsFleet& fleet, gsListedUpstream const& listed, gsTime now);
+void gsFleetUpsert(gsFleet& fleet, gsListedUpstream const& listed, gsTime now);
 
-/** Forgets an upstream that is gone, but for its words: its row may be away
- * only for now. */
-void gsFleetDrop(gsFleet& fleet, std::string_view id, gsTime now = gsTime{});
+/** Removes an upstream's row, and retains its announcements in case the row
+ * is listed again. */
+void gsFleetRemove(gsFleet& fleet, std::string_view id, gsTime now = gsTime{});
 
-/** Takes a whole list: puts all of it, and drops what is not in it. */
-void gsFleetTake(gsFleet& fleet, std::vector<gsListedUpstream> const& listed,
-                 gsTime now = gsTime{});
+/** Replaces the listing: adds or updates each entry, and removes the rows of
+ * all other upstreams. */
+void gsFleetReplaceListing(gsFleet& fleet,
+                           std::vector<gsListedUpstream> const& listed,
+                           gsTime now = gsTime{});
 
-/** Notes which halls are evacuated; the others are not any more. */
-void gsNoteEvacuated(gsFleet& fleet, std::set<std::string> const& halls,
-                     gsTime now);
+/** Replaces the set of evacuated halls. Halls that were evacuated before keep
+ * their start time. */
+void gsSetEvacuatedHalls(gsFleet& fleet, std::set<std::string> const& halls,
+                         gsTime now);
 
-/** Whether it leaves, by its row or by its own word. */
+/** Whether the platform lists the upstream as leaving, or the upstream has
+ * announced it itself. */
 bool gsIsLeaving(gsFleetRow const& row);
 
-/** Whether an upstream may get anything new: it does not leave nor rest, and
- * its hall is not evacuated. The one gate of all choices, and of the last look
- * before a request is sent. */
-bool gsTakesWork(gsFleet const& fleet, gsFleetRow const& row, gsTime now);
+/** Whether an upstream may get new requests: it is not leaving, has not asked
+ * for a pause, and its hall is not evacuated. Checked by every placement, and
+ * once more immediately before a request is sent. */
+bool gsAcceptsRequests(gsFleet const& fleet, gsFleetRow const& row,
+                       gsTime now);
 
 /**
- * Takes in what an upstream has said of itself in an answer, also while it has
- * no row. \return Whether it changes what holds of it.
+ * Applies an upstream's announcement from an answer, also if it has no row;
+ * ignores announcements of an incarnation other than the listed one. \return
+ * Whether the known state has changed.
  */
-bool gsNoteWord(gsFleet& fleet, gsIncarnation const& upstream,
-                gsUpstreamWord const& word, gsTime now);
+bool gsApplyAnnouncement(gsFleet& fleet, gsIncarnation const& upstream,
+                         gsUpstreamAnnouncement const& word, gsTime now);
 
-/** The row of an upstream; null when it is gone. */
+/** The row of an upstream; null if it is not listed. */
 gsFleetRow* gsFleetFind(gsFleet& fleet, std::string_view id);
 
-/** The same of one incarnation; null also when it has started again. */
+/** The row of an incarnation; null also if a different one is listed. */
 gsFleetRow* gsFleetFind(gsFleet& fleet, gsIncarnation const& incarnation);
 
 gsIncarnation gsIncarnationOf(gsListedUpstream const& listed);
 
-/** Names an incarnation between hosts; a row has it as gsFleetRow::Hash. */
+/** Identifies an incarnation in messages between hosts; stored in
+ * gsFleetRow::Hash. */
 std::uint32_t gsIncarnationHash(gsIncarnation const& incarnation);
 
-/** The pace that any host has measured; zero when none has. */
-double gsPaceOf(gsFleetRow const& row);
+/** The minimum event interval measured by any host, milliseconds; zero if
+ * there is none. */
+double gsEventIntervalMillis(gsFleetRow const& row);
 
-/** Notes a pause between two events of an engine's stream. */
-void gsNotePause(gsFleet& fleet, gsFleetRow& row, gsTime pause, gsTime now);
+/** Records an interval between two events of a stream. */
+void gsRecordEventInterval(gsFleet& fleet, gsFleetRow& row, gsTime interval,
+                           gsTime now);
 
-/** Forgets paces that this host has not measured again for long. */
-void gsForgetPaces(gsFleet& fleet, gsTime now);
+/** Clears event intervals that this host has not measured again recently. */
+void gsExpireEventIntervals(gsFleet& fleet, gsTime now);
 
-/** Notes that there may be something to tell other hosts of a row. */
-void gsNoteWorking(gsFleet& fleet, gsFleetRow& row);
+/** Marks a row as having state to report to other hosts. */
+void gsMarkReportable(gsFleet& fleet, gsFleetRow& row);
 
 /**
- * Calls back with each row of which this host has something to tell, and
- * forgets the others. What it costs goes by these rows, not by all.
+ * Calls a function with each row that has state to report to other hosts, and
+ * unmarks the other rows. The run time is linear in the number of marked rows,
+ * not in the number of all rows.
  */
 template<typename Function>
-void gsForEachWorking(gsFleet& fleet, gsTime now, Function const& function);
+void gsForEachReportable(gsFleet& fleet, gsTime now, Function const& function);
 
-/** Work at an upstream by this host and, as last heard, all others. */
-gsOpenWork gsWorkAt(gsFleet const& fleet, gsFleetRow const& row, gsTime now);
+/** Load of an upstream by this host and, unless their reports have expired,
+ * by all other hosts. */
+gsOutstandingLoad gsTotalLoad(gsFleet const& fleet, gsFleetRow const& row,
+                              gsTime now);
 
-/** Notes that an upstream has read a prompt. */
-void gsNoteParts(gsFleet const& fleet, gsFleetRow& row,
-                 std::vector<gsPromptPart> const& parts, gsTime now);
+/** Records that an upstream has processed, and may have cached, the parts of
+ * a prompt. */
+void gsRecordCachedParts(gsFleet const& fleet, gsFleetRow& row,
+                         std::vector<gsPromptPart> const& parts, gsTime now);
 
-/** Notes how an attempt ended at an upstream. */
-void gsNoteOutcome(gsFleetRow& row, bool failed, gsTime now);
+/** Updates the failure rate after an attempt has ended. */
+void gsRecordOutcome(gsFleetRow& row, bool failed, gsTime now);
 
 /**
- * Notes that an upstream has turned an attempt away: it holds work that no
- * host has told of, such as that of hosts that are gone.
+ * Records that an upstream has rejected an attempt. Its load then includes
+ * work that no host reports, such as requests of failed hosts.
  */
-void gsNoteTurnedAway(gsFleet& fleet, gsFleetRow& row, gsTime now);
+void gsRecordRejection(gsFleet& fleet, gsFleetRow& row, gsTime now);
 
-/** This host's work at an upstream, as other hosts should count it. */
-gsOpenWork gsOwnWork(gsFleetRow const& row, gsTime now);
+/** This host's load at an upstream as reported to other hosts; includes all
+ * slots if the upstream counts as full after a rejection. */
+gsOutstandingLoad gsOwnLoad(gsFleetRow const& row, gsTime now);
 
-/** Notes that an upstream could not be reached. */
-void gsNoteUnreachable(gsFleetRow& row, gsTime now);
+/** Records a connection failure and extends the backoff. */
+void gsRecordUnreachable(gsFleetRow& row, gsTime now);
 
 /**
- * The same, and what it says of the upstream's hall; true if that is taken to
- * be cut off from now on.
+ * Records a connection failure of an upstream, and of its hall if that is
+ * another hall. \return Whether the hall is considered unreachable from now
+ * on.
  */
-bool gsNoteNoConnection(gsFleet& fleet, gsFleetRow& row, gsTime now);
+bool gsRecordConnectFailure(gsFleet& fleet, gsFleetRow& row, gsTime now);
 
 /**
- * Looks whether halls that are taken to be cut off were heard from again, or
- * were not tried for long. To be run now and then, also without requests.
+ * Ends the backoff of upstreams in unreachable halls that have sent bytes
+ * again, and expires old failures of halls. To be called periodically, also
+ * without requests.
  */
 void gsRefreshHalls(gsFleet& fleet, gsTime now);
 
-/** Notes bytes of an answer. */
-void gsNoteHeard(gsFleet& fleet, gsFleetRow& row, gsTime now);
+/** Records that bytes of an answer were received; ends the backoff. */
+void gsRecordReceived(gsFleet& fleet, gsFleetRow& row, gsTime now);
 
-/** Share of failures now, after its decay. */
-double gsFailShare(gsFleetRow const& row, gsTime now);
+/** The failure rate, decayed until now. */
+double gsFailureRate(gsFleetRow const& row, gsTime now);
 
 template<typename Function>
-void gsForEachWorking(gsFleet& fleet, gsTime now, Function const& function)
+void gsForEachReportable(gsFleet& fleet, gsTime now, Function const& function)
 {
-  std::size_t kept = 0;
-  for (std::uint32_t hash : fleet.Working) {
+  std::size_t count = 0;
+  for (std::uint32_t hash : fleet.ReportableRows) {
     auto found = fleet.ByHash.find(hash);
     if (found == fleet.ByHash.end()) {
       continue;
     }
     gsFleetRow& row = fleet.Rows[found->second];
-    row.Working = row.Own.Running > 0 || now < row.FullUntil || row.Pace > 0;
-    if (row.Working) {
-      fleet.Working[kept++] = hash;
+    row.IsReportable = row.OwnLoad.OpenAttempts > 0 || now < row.FullUntil ||
+                       row.EventIntervalMillis > 0;
+    if (row.IsReportable) {
+      fleet.ReportableRows[count++] = hash;
       function(row);
     }
   }
-  fleet.Working.resize(kept);
+  fleet.ReportableRows.resize(count);
 }
--- a/Source/Core/gsInterference.cxx
+++ b/Source/Core/gsInterference.cxx
@@ -6,104 +6,119 @@
 namespace {
 
 /**
- * Share of a stream's longest pause that a kind's mean prompt may take. Two
- * are often read at a time, as hosts learn too late of what the others have
- * sent.
+ * Share of a stream's maximum event interval that the mean prompt of a route
+ * may take. Below 1, since two prompts are often processed at a time: hosts
+ * learn too late what the others have sent.
  */
-constexpr double MeanShare = 0.75;
-/** The same of a single prompt, read alone. */
-constexpr double SingleShare = 1;
+constexpr double MaxMeanShare = 0.75;
+/** The same share for a single prompt. */
+constexpr double MaxSingleShare = 1;
+/** Weight of a new prompt in the mean prompt length of a route. */
 constexpr double MeanSmoothing = 0.05;
 /**
- * Prompts that are pressed for time cannot wait for so many others. With room
- * for some 2.5, 0.30 of those on engines of their own were late. The bound is
- * a guess above that and was not varied.
+ * Ratio of target to processing time below which long prompts have too little
+ * time to wait for others. At a ratio of about 2.5, 0.30 of the long prompts
+ * on dedicated engines missed their targets. The bound is an untested guess
+ * above that.
  */
-constexpr double PressedRoom = 4;
-/** Shorter prompts say little of how fast an engine reads; tokens. */
-constexpr double LeastTokens = 1000;
-/** Quantile and step of the measured times, as for an engine's own pace. */
+constexpr double UrgentTargetRatio = 4;
+/** Minimum prompt length of a speed sample, tokens. The time to first byte of
+ * shorter prompts depends little on the processing speed. */
+constexpr double MinSampleTokens = 1000;
+/** Quantile that is estimated from measured times, and the relative step of
+ * the estimate per sample. */
 constexpr double Quantile = 0.2;
 constexpr double QuantileStep = 0.03;
-constexpr double LongReadSmoothing = 0.05;
-/** Bounds on what is believed of a token; milliseconds. */
-constexpr double LeastTokenMillis = 0.002;
-constexpr double MostTokenMillis = 1.0;
+/** Weight of a new long prompt in the means over long prompts. */
+constexpr double LongPromptSmoothing = 0.05;
+/** Bounds of the estimated processing time of a prompt token, milliseconds. */
+constexpr double MinTokenMillis = 0.002;
+constexpr double MaxTokenMillis = 1.0;
 
-/** Moves an estimate of a low quantile towards a sample. */
-double Moved(double estimate, double sample)
+/** Updates a low-quantile estimate with a sample. \return The new estimate. */
+double UpdateQuantile(double estimate, double sample)
 {
-  double below = sample < estimate ? 1 : 0;
-  return estimate * (1 + QuantileStep * (Quantile - below));
+  double isBelow = sample < estimate ? 1 : 0;
+  return estimate * (1 + QuantileStep * (Quantile - isBelow));
 }
 
-/** Whether a read of so long may make a stream miss its target. */
-bool TooLong(gsEnginePace const& pace, double readMillis, double targetMillis,
-             double share)
+/** Whether prompt processing for a time exceeds the share of a stream's
+ * maximum event interval that remains after the interval without interference.
+ */
+bool ExceedsShare(gsEngineTiming const& timing, double promptMillis,
+                  double targetMillis, double share)
 {
-  double spare = targetMillis * share - pace.EventMillis;
-  return targetMillis > 0 && readMillis > spare;
+  double slackMillis = targetMillis * share - timing.EventMillis;
+  return targetMillis > 0 && promptMillis > slackMillis;
 }
 
 } // namespace
 
-bool gsIsPressed(gsEnginePace const& pace)
+bool gsAreLongPromptsUrgent(gsEngineTiming const& timing)
 {
-  return pace.LongRoom > 0 && pace.LongRoom < PressedRoom;
+  return timing.LongTargetRatio > 0 &&
+         timing.LongTargetRatio < UrgentTargetRatio;
 }
 
-void gsNoteReading(gsEnginePace& pace, double tokens, gsTime took)
+void gsRecordPromptTime(gsEngineTiming& timing, double tokens,
+                        gsTime timeToFirstByte)
 {
-  if (tokens < LeastTokens) {
+  if (tokens < MinSampleTokens) {
     return;
   }
-  double sample = gsToSeconds(took) * 1e3 / tokens;
-  pace.TokenMillis = std::clamp(Moved(pace.TokenMillis, sample),
-                                LeastTokenMillis, MostTokenMillis);
+  double sample = gsToSeconds(timeToFirstByte) * 1e3 / tokens;
+  timing.TokenMillis = std::clamp(UpdateQuantile(timing.TokenMillis, sample),
+                                  MinTokenMillis, MaxTokenMillis);
 }
 
-void gsNoteEvent(gsEnginePace& pace, gsTime pause)
+void gsRecordServiceEventInterval(gsEngineTiming& timing, gsTime interval)
 {
-  double millis = gsToSeconds(pause) * 1e3;
-  pace.EventMillis =
-    pace.EventMillis <= 0 ? millis : Moved(pace.EventMillis, millis);
+  double millis = gsToSeconds(interval) * 1e3;
+  timing.EventMillis = timing.EventMillis <= 0
+                         ? millis
+                         : UpdateQuantile(timing.EventMillis, millis);
 }
 
-double gsReadMillis(gsEnginePace const& pace, double tokens)
+double gsPromptMillis(gsEngineTiming const& timing, double tokens)
 {
-  return tokens * pace.TokenMillis;
+  return tokens * timing.TokenMillis;
 }
 
-gsFleetGroup gsGroupByInterference(gsEnginePace const& pace,
-                                   gsPauseTargets const& targets,
+gsFleetGroup gsGroupByInterference(gsEngineTiming const& timing,
+                                   gsStreamTargets const& targets,
                                    double tokens, double meanTokens)
 {
-  double tightest = targets.TightestMillis;
-  bool isLong =
-    TooLong(pace, gsReadMillis(pace, meanTokens), tightest, MeanShare) ||
-    TooLong(pace, gsReadMillis(pace, tokens), tightest, SingleShare);
+  double tightest = targets.TightestIntervalMillis;
+  bool isLong = ExceedsShare(timing, gsPromptMillis(timing, meanTokens),
+                             tightest, MaxMeanShare) ||
+                ExceedsShare(timing, gsPromptMillis(timing, tokens), tightest,
+                             MaxSingleShare);
   if (isLong) {
     return gsFleetGroup::Long;
   }
-  bool isTightest = targets.OwnMillis > 0 && targets.OwnMillis <= tightest;
-  bool suffers = isTightest || TooLong(pace, pace.LongReadMillis,
-                                       targets.OwnMillis, MeanShare);
-  return suffers ? gsFleetGroup::Tight : gsFleetGroup::Any;
+  bool isTightest =
+    targets.MaxIntervalMillis > 0 && targets.MaxIntervalMillis <= tightest;
+  bool isAffected =
+    isTightest || ExceedsShare(timing, timing.MeanLongPromptMillis,
+                               targets.MaxIntervalMillis, MaxMeanShare);
+  return isAffected ? gsFleetGroup::Tight : gsFleetGroup::Any;
 }
 
-gsFleetGroup gsNoteInterference(gsEnginePace& pace, std::string const& route,
-                                gsPauseTargets const& targets, double tokens)
+gsFleetGroup gsClassifyRequest(gsEngineTiming& timing,
+                               std::string const& route,
+                               gsStreamTargets const& targets, double tokens)
 {
-  double& mean = pace.MeanPrompts[route];
+  double& mean = timing.MeanPromptTokens[route];
   mean += (mean <= 0 ? 1 : MeanSmoothing) * (tokens - mean);
-  gsFleetGroup group = gsGroupByInterference(pace, targets, tokens, mean);
+  gsFleetGroup group = gsGroupByInterference(timing, targets, tokens, mean);
   if (group == gsFleetGroup::Long) {
-    double millis = gsReadMillis(pace, tokens);
-    double step = pace.LongReadMillis <= 0 ? 1 : LongReadSmoothing;
-    pace.LongReadMillis += step * (millis - pace.LongReadMillis);
-    double room = targets.FirstMillis / pace.LongReadMillis;
-    step = pace.LongRoom <= 0 ? 1 : LongReadSmoothing;
-    pace.LongRoom += step * (room - pace.LongRoom);
+    double millis = gsPromptMillis(timing, tokens);
+    double weight = timing.MeanLongPromptMillis <= 0 ? 1 : LongPromptSmoothing;
+    timing.MeanLongPromptMillis +=
+      weight * (millis - timing.MeanLongPromptMillis);
+    double ratio = targets.FirstEventMillis / timing.MeanLongPromptMillis;
+    weight = timing.LongTargetRatio <= 0 ? 1 : LongPromptSmoothing;
+    timing.LongTargetRatio += weight * (ratio - timing.LongTargetRatio);
   }
   return group;
 }
--- a/Source/Core/gsInterference.h
+++ b/Source/Core/gsInterference.h
@@ -1,16 +1,19 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * What reading a prompt does to the streams beside it. An engine makes its
- * streams' tokens in steps; while it reads a prompt, each step reads a piece
- * of it too and takes so much longer. So a stream's pause grows by the time
- * that the engine reads between two of its events, and a prompt that is read
- * for longer than a stream may pause can make it miss its target.
+ * Interference of prompt processing with concurrent streams. An engine
+ * generates the tokens of its streams in steps. While it processes a prompt,
+ * each step also processes a chunk of the prompt and takes longer by that
+ * time. The interval between two events of a stream therefore grows by the
+ * prompt processing time between them, and a prompt that takes longer than
+ * the maximum interval of a stream can make the stream miss its target.
  *
- * A host learns both times from its own requests: how long an engine takes
- * for a prompt token, and for an event when nothing is read. It is assumed
- * that a prompt is read whole, as it is when the engine keeps none of it, and
- * that engines of a service differ little beside the span of prompt lengths.
+ * A host estimates two times from its own requests: the processing time of a
+ * prompt token, and the interval between events without prompt processing.
+ * The estimates assume that prompts are processed completely, as they are
+ * when the engine has cached none of them, and that the differences between
+ * the engines of a service are small compared to those between prompt
+ * lengths.
  */
 #pragma once
 
@@ -19,66 +22,81 @@
 
 #include "gsTypes.h"
 
-/** How fast a service's engines are, as this host has measured. */
-struct gsEnginePace
+/** Speed of a service's engines and its prompt statistics, as measured by this
+ * host. */
+struct gsEngineTiming
 {
-  /** Time for a prompt token, milliseconds: a low quantile, since what the
-   * request waited for before it was read counts too. */
+  /** Processing time of a prompt token, milliseconds. A low quantile, since
+   * the samples include the time for which the request was queued. */
   double TokenMillis = 0.02;
-  /** Time between events when nothing is read, milliseconds; a low quantile.
-   * Zero until there were some. */
+  /** Interval between events without prompt processing, milliseconds. A low
+   * quantile; zero before the first sample. */
   double EventMillis = 0;
-  /** Mean time in which the prompts that interfere are read, milliseconds;
-   * zero until there was one. */
-  double LongReadMillis = 0;
-  /** Targets of these prompts, as multiples of the time to read one; the mean,
-   * zero until there was one. */
-  double LongRoom = 0;
-  /** Mean prompt of each kind of request, by the name of its route; tokens. */
-  std::unordered_map<std::string, double> MeanPrompts;
+  /** Mean processing time of interfering prompts, milliseconds; zero before
+   * the first one. */
+  double MeanLongPromptMillis = 0;
+  /** Mean ratio of the first-event target of interfering prompts to
+   * MeanLongPromptMillis; zero before the first one. */
+  double LongTargetRatio = 0;
+  /** Mean prompt length by route name; tokens. */
+  std::unordered_map<std::string, double> MeanPromptTokens;
 };
 
-/** What a stream and the others of its service bear. */
-struct gsPauseTargets
+/** Latency targets of a stream and of the other streams of its service. */
+struct gsStreamTargets
 {
-  double OwnMillis = 0;      ///< Longest pause; 0 for no limit.
-  double TightestMillis = 0; ///< Least of all streams there; 0 for no limit.
-  double FirstMillis = 0;    ///< Until the first event; 0 for no limit.
+  /** Maximum interval between events; 0 for no limit. */
+  double MaxIntervalMillis = 0;
+  /** Minimum of the maximum intervals of all streams of the service; 0 for no
+   * limit. */
+  double TightestIntervalMillis = 0;
+  /** Maximum time until the first event; 0 for no limit. */
+  double FirstEventMillis = 0;
 };
 
-/** Which requests an engine is for, and what a request is to others. */
+/** Classification of requests by interference. Engines are assigned to groups
+ * of requests by the same values. */
 enum class gsFleetGroup
 {
-  Any,  ///< Neither interferes nor suffers; goes to any engine.
-  Long, ///< Reading its prompt may make streams beside it miss their targets.
-  Tight ///< A stream that may miss its target beside such prompts.
+  /** Neither interferes nor is affected by interference; any engine. */
+  Any,
+  /** Processing of the prompt can make concurrent streams miss their targets.
+   */
+  Long,
+  /** A stream that can miss its target because of concurrent long prompts. */
+  Tight
 };
 
 /**
- * Whether prompts that interfere have targets so short that they miss them
- * where some are read one after another. They may go to all engines then, when
- * those that are for them do not keep up.
+ * Whether long prompts have such short targets that they miss them when a few
+ * of them are queued at an engine. They may then be sent to all engines when
+ * those for long prompts are overloaded.
  */
-bool gsIsPressed(gsEnginePace const& pace);
+bool gsAreLongPromptsUrgent(gsEngineTiming const& timing);
 
-/** Notes how long a request's first byte took, and what was to be read. */
-void gsNoteReading(gsEnginePace& pace, double tokens, gsTime took);
+/** Records the time to the first byte of a request, and the number of prompt
+ * tokens that had to be processed. */
+void gsRecordPromptTime(gsEngineTiming& timing, double tokens,
+                        gsTime timeToFirstByte);
 
-/** Notes a pause between two events of a stream. */
-void gsNoteEvent(gsEnginePace& pace, gsTime pause);
+/** Records an interval between two events of a stream. */
+void gsRecordServiceEventInterval(gsEngineTiming& timing, gsTime interval);
 
-/** Time by which reading so many tokens lengthens a pause; milliseconds. */
-double gsReadMillis(gsEnginePace const& pace, double tokens);
+/** Processing time of a number of prompt tokens, by which it extends the event
+ * intervals of concurrent streams; milliseconds. */
+double gsPromptMillis(gsEngineTiming const& timing, double tokens);
 
 /**
- * What a request is to others. All of one kind are taken alike, by their mean
- * prompt, so that a subject's requests stay together; only a prompt that makes
- * others miss their target by itself is taken for what it is. Tokens.
+ * Classifies a request by the mean prompt length of its route, so that all
+ * requests for a subject use the same engines. A prompt that by itself makes
+ * other streams miss their targets is classified by its own length. Lengths
+ * are in tokens.
  */
-gsFleetGroup gsGroupByInterference(gsEnginePace const& pace,
-                                   gsPauseTargets const& targets,
+gsFleetGroup gsGroupByInterference(gsEngineTiming const& timing,
+                                   gsStreamTargets const& targets,
                                    double tokens, double meanTokens);
 
-/** The same for a new request; counts it towards what is known of its kind. */
-gsFleetGroup gsNoteInterference(gsEnginePace& pace, std::string const& route,
-                                gsPauseTargets const& targets, double tokens);
+/** Updates the prompt statistics with a new request and classifies it. */
+gsFleetGroup gsClassifyRequest(gsEngineTiming& timing,
+                               std::string const& route,
+                               gsStreamTargets const& targets, double tokens);
--- a/Source/Core/gsLimit.cxx
+++ b/Source/Core/gsLimit.cxx
@@ -5,55 +5,65 @@
 
 namespace {
 
-constexpr double Decrease = 0.9;
-constexpr double ReportDecrease = 0.95;
-constexpr double Increase = 1.0;
-constexpr double GapSmoothing = 0.1;
-/** The limit rises only while the worst mean gap is below this part. */
-constexpr double GapGoal = 0.92;
+/** Factor of a multiplicative decrease, after late answers. */
+constexpr double DecreaseFactor = 0.9;
+/** Factor of a multiplicative decrease, after a report of queued requests. */
+constexpr double ReportDecreaseFactor = 0.95;
+/** Step of an additive increase. */
+constexpr double IncreaseStep = 1.0;
+/** Weight of a new sample in the smoothed token interval. */
+constexpr double IntervalSmoothing = 0.1;
+/** A limit increases only while the highest mean ratio of token interval to
+ * target is below this value. */
+constexpr double MaxIncreaseRatio = 0.92;
+/** Number of samples below which a window is not evaluated. */
 constexpr std::uint32_t MinSamples = 8;
+/** Number of samples below which a tier's late share is ignored. */
 constexpr std::uint32_t MinTierSamples = 4;
-/** Share of the first-token target that an upstream may use itself. */
-constexpr double FirstTokenShare = 0.8;
+/** Share of the target for the first token that an upstream may take for it,
+ * measured from sending, before the answer counts as late. */
+constexpr double MaxFirstTokenShare = 0.8;
 
 std::uint32_t SampleCount(gsUpstreamRow const& row)
 {
   std::uint32_t samples = 0;
-  for (gsLateCount const& tier : row.Late) {
+  for (gsLatencyWindow const& tier : row.LatencyByTier) {
     samples += tier.Samples;
   }
   return samples;
 }
 
 /**
- * The tier with the strictest target rules, however few its requests are:
- * over all tiers together, the lenient ones would hide its late answers.
+ * Whether more than a given share of any tier's samples is late. Each tier is
+ * evaluated separately, because in a total over all tiers the many samples of
+ * a tier with lenient targets would hide the late answers of a strict one.
  */
-bool AnyTierLate(gsUpstreamRow const& row, double share)
+bool IsAnyTierLate(gsUpstreamRow const& row, double share)
 {
-  return std::any_of(row.Late.begin(), row.Late.end(),
-                     [share](gsLateCount const& tier) {
+  return std::any_of(row.LatencyByTier.begin(), row.LatencyByTier.end(),
+                     [share](gsLatencyWindow const& tier) {
                        return tier.Samples >= MinTierSamples &&
-                              tier.Late > share * tier.Samples;
+                              tier.LateSamples > share * tier.Samples;
                      });
 }
 
-/** The largest mean of token gap over target of all tiers. */
-double WorstGap(gsUpstreamRow const& row)
+/** The highest mean ratio of token interval to target of any tier. */
+double MaxIntervalRatio(gsUpstreamRow const& row)
 {
-  double worst = 0;
-  for (gsLateCount const& tier : row.Late) {
-    if (tier.Gaps > 0) {
-      worst = std::max(worst, tier.GapSum / tier.Gaps);
+  double highest = 0;
+  for (gsLatencyWindow const& tier : row.LatencyByTier) {
+    if (tier.IntervalSamples > 0) {
+      highest =
+        std::max(highest, tier.IntervalRatioSum / tier.IntervalSamples);
     }
   }
-  return worst;
+  return highest;
 }
 
 } // namespace
 
-void gsObserve(gsPool& pool, gsRequestId const& id, gsTime firstToken,
-               gsTime gap)
+void gsRecordLatency(gsPool& pool, gsRequestId const& id,
+                     gsTime timeToFirstToken, gsTime tokenInterval)
 {
   auto running = pool.Running.find(id);
   if (running == pool.Running.end()) {
@@ -64,25 +74,29 @@
     return;
   }
   gsRunningRow const& request = running->second;
-  if (row->Late.size() <= request.Tier) {
-    row->Late.resize(request.Tier + 1);
+  if (row->LatencyByTier.size() <= request.Tier) {
+    row->LatencyByTier.resize(request.Tier + 1);
   }
-  gsLateCount& counts = row->Late[request.Tier];
+  gsLatencyWindow& counts = row->LatencyByTier[request.Tier];
   bool late = false;
-  if (firstToken.count() > 0) {
-    late = gsToSeconds(firstToken) >
-           FirstTokenShare * gsToSeconds(request.FirstTokenTarget);
+  if (timeToFirstToken.count() > 0) {
+    late = gsToSeconds(timeToFirstToken) >
+           MaxFirstTokenShare * gsToSeconds(request.FirstTokenTarget);
   }
-  if (gap.count() > 0 && request.GapTarget.count() > 0) {
-    double ratio = gsToSeconds(gap) / gsToSeconds(request.GapTarget);
+  if (tokenInterval.count() > 0 && request.TokenIntervalTarget.count() > 0) {
+    double ratio =
+      gsToSeconds(tokenInterval) / gsToSeconds(request.TokenIntervalTarget);
     late = late || ratio > 1.0;
-    ++counts.Gaps;
-    counts.GapSum += ratio;
-    row->Gap =
-      row->Gap == 0 ? ratio : row->Gap + GapSmoothing * (ratio - row->Gap);
+    ++counts.IntervalSamples;
+    counts.IntervalRatioSum += ratio;
+    row->TokenIntervalRatio =
+      row->TokenIntervalRatio == 0
+        ? ratio
+        : row->TokenIntervalRatio +
+            IntervalSmoothing * (ratio - row->TokenIntervalRatio);
   }
   ++counts.Samples;
-  counts.Late += late ? 1 : 0;
+  counts.LateSamples += late ? 1 : 0;
 }
 
 void gsAdjustLimits(gsPool& pool, gsTime now)
@@ -92,20 +106,20 @@
         SampleCount(row) < MinSamples) {
       continue;
     }
-    if (AnyTierLate(row, pool.Settings.LateShare)) {
-      row.Limit = std::max(1.0, row.Limit * Decrease);
-    } else if (row.Saturated && row.ReportedWaiting == 0 &&
-               WorstGap(row) < GapGoal) {
-      row.Limit = std::min(row.MaxLimit, row.Limit + Increase);
+    if (IsAnyTierLate(row, pool.Settings.MaxLateShare)) {
+      row.Limit = std::max(1.0, row.Limit * DecreaseFactor);
+    } else if (row.WasSaturated && row.ReportedWaiting == 0 &&
+               MaxIntervalRatio(row) < MaxIncreaseRatio) {
+      row.Limit = std::min(row.MaxLimit, row.Limit + IncreaseStep);
     }
     row.WindowStart = now;
-    row.Late.clear();
-    row.Saturated = false;
+    row.LatencyByTier.clear();
+    row.WasSaturated = false;
   }
 }
 
-void gsReportLoad(gsPool& pool, std::string_view upstream,
-                  std::uint32_t waiting)
+void gsApplyUpstreamLoad(gsPool& pool, std::string_view upstream,
+                         std::uint32_t waiting)
 {
   gsUpstreamRow* row = gsFindUpstream(pool, upstream);
   if (row == nullptr) {
@@ -113,6 +127,6 @@
   }
   row->ReportedWaiting = waiting;
   if (waiting > 0 && row->Adaptive) {
-    row->Limit = std::max(1.0, row->Limit * ReportDecrease);
+    row->Limit = std::max(1.0, row->Limit * ReportDecreaseFactor);
   }
 }
--- a/Source/Core/gsLogRecord.cxx
+++ b/Source/Core/gsLogRecord.cxx
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::string_view TimeKey = "ts=";
+constexpr std::string_view TimePrefix = "ts=";
 constexpr int MinutesPerHour = 60;
 constexpr int SecondsPerMinute = 60;
 
@@ -30,12 +30,13 @@
   return text;
 }
 
-/** Where the daemon's own part of a line begins; npos when nowhere. */
-std::size_t FindStart(std::string_view line)
+/** Position of the time field, with which the text written by the daemon
+ * begins; npos if there is none. */
+std::size_t FindTimeField(std::string_view line)
 {
-  std::size_t at = line.find(TimeKey);
+  std::size_t at = line.find(TimePrefix);
   while (at != std::string_view::npos && at > 0 && !IsSpace(line[at - 1])) {
-    at = line.find(TimeKey, at + 1);
+    at = line.find(TimePrefix, at + 1);
   }
   return at;
 }
@@ -45,19 +46,21 @@
   return IsSpace(c) || c == ':' || c == '|';
 }
 
-/** The host that a collector named before the line: the last word there. */
-std::string HostBefore(std::string_view prefix)
+/** Extracts the name of the host from the text that a log collector prepended
+ * to the line. \return The last word of the text. */
+std::string ParseHost(std::string_view prefix)
 {
   while (!prefix.empty() && IsSeparator(prefix.back())) {
     prefix.remove_suffix(1);
   }
   std::size_t space = prefix.find_last_of(" \t");
-  bool only = space == std::string_view::npos;
-  return std::string(only ? prefix : prefix.substr(space + 1));
+  bool isSingleWord = space == std::string_view::npos;
+  return std::string(isSingleWord ? prefix : prefix.substr(space + 1));
 }
 
-/** Takes a value off the front of a text, and its quotes off the value. */
-std::string TakeValue(std::string_view& text)
+/** Parses a value and removes it from the front of the text. Resolves quotes
+ * and escapes. */
+std::string ConsumeValue(std::string_view& text)
 {
   std::string value;
   if (text.empty() || text.front() != '"') {
@@ -78,42 +81,45 @@
   return value;
 }
 
-/** Takes the next pair off the front of a text. */
-std::optional<gsLogField> TakeField(std::string_view& text)
+/** Parses a key=value pair and removes it from the front of the text.
+ * \return Empty if the text does not begin with a pair. */
+std::optional<gsLogField> ConsumeField(std::string_view& text)
 {
   text = Trim(text);
-  std::size_t sign = text.find('=');
-  if (sign == std::string_view::npos || sign == 0 ||
-      text.substr(0, sign).find(' ') != std::string_view::npos) {
+  std::size_t equalsSign = text.find('=');
+  if (equalsSign == std::string_view::npos || equalsSign == 0 ||
+      text.substr(0, equalsSign).find(' ') != std::string_view::npos) {
     return std::nullopt;
   }
   gsLogField field;
-  field.Key = text.substr(0, sign);
-  text.remove_prefix(sign + 1);
-  field.Value = TakeValue(text);
+  field.Key = text.substr(0, equalsSign);
+  text.remove_prefix(equalsSign + 1);
+  field.Value = ConsumeValue(text);
   return field;
 }
 
-/** Seconds east of UTC, of "+0130" and the like; zero for "Z". */
-int ZoneSeconds(std::string_view zone)
+/** Parses an offset from UTC such as "+0130". \return Seconds east of UTC;
+ * zero for "Z" and for texts of any other length. */
+int ParseUtcOffset(std::string_view offset)
 {
   constexpr std::size_t length = 5;
-  constexpr int hundred = 100;
-  if (zone.size() != length) {
+  constexpr int hourFactor = 100;
+  if (offset.size() != length) {
     return 0;
   }
   int digits = 0;
-  std::from_chars(zone.data() + 1, zone.data() + length, digits);
-  int minutes = digits / hundred * MinutesPerHour + digits % hundred;
-  return (zone.front() == '-' ? -1 : 1) * minutes * SecondsPerMinute;
+  std::from_chars(offset.data() + 1, offset.data() + length, digits);
+  int minutes = digits / hourFactor * MinutesPerHour + digits % hourFactor;
+  return (offset.front() == '-' ? -1 : 1) * minutes * SecondsPerMinute;
 }
 
-/** Time since the epoch, of "2026-01-31T23:59:59.125+0000". */
-std::optional<gsTime> ReadTime(std::string const& text)
+/** Parses a time such as "2026-01-31T23:59:59.125+0000". \return Time since
+ * the epoch. */
+std::optional<gsTime> ParseTime(std::string const& text)
 {
-  std::tm parts{};
+  std::tm calendarTime{};
   std::istringstream stream(text);
-  stream >> std::get_time(&parts, "%Y-%m-%dT%H:%M:%S");
+  stream >> std::get_time(&calendarTime, "%Y-%m-%dT%H:%M:%S");
   if (stream.fail()) {
     return std::nullopt;
   }
@@ -121,32 +127,33 @@
   if (stream.peek() == '.') {
     stream >> fraction;
   }
-  std::string zone;
+  std::string offset;
   stream.clear();
-  stream >> zone;
-  double seconds =
-    static_cast<double>(timegm(&parts)) + fraction - ZoneSeconds(zone);
+  stream >> offset;
+  double seconds = static_cast<double>(timegm(&calendarTime)) + fraction -
+                   ParseUtcOffset(offset);
   return gsFromSeconds(seconds);
 }
 
 } // namespace
 
-std::optional<gsLogRecord> gsReadLogLine(std::string_view line)
+std::optional<gsLogRecord> gsParseLogLine(std::string_view line)
 {
-  std::size_t start = FindStart(line);
+  std::size_t start = FindTimeField(line);
   if (start == std::string_view::npos) {
     return std::nullopt;
   }
   gsLogRecord record;
-  record.Host = HostBefore(line.substr(0, start));
-  std::string_view rest = line.substr(start);
-  std::optional<gsLogField> time = TakeField(rest);
-  std::optional<gsTime> at = time ? ReadTime(time->Value) : std::nullopt;
-  if (!at) {
+  record.Host = ParseHost(line.substr(0, start));
+  std::string_view remaining = line.substr(start);
+  std::optional<gsLogField> timeField = ConsumeField(remaining);
+  std::optional<gsTime> time =
+    timeField ? ParseTime(timeField->Value) : std::nullopt;
+  if (!time) {
     return std::nullopt;
   }
-  record.At = *at;
-  while (std::optional<gsLogField> field = TakeField(rest)) {
+  record.Timestamp = *time;
+  while (std::optional<gsLogField> field = ConsumeField(remaining)) {
     if (field->Key == "event") {
       record.Event = std::move(field->Value);
     } else if (field->Key != "level") {
@@ -159,7 +166,8 @@
   return record;
 }
 
-std::string_view gsFieldOf(gsLogRecord const& record, std::string_view key)
+std::string_view gsLogFieldValue(gsLogRecord const& record,
+                                 std::string_view key)
 {
   auto found =
     std::find_if(record.Fields.begin(), record.Fields.end(),
@@ -167,13 +175,14 @@
   return found == record.Fields.end() ? std::string_view() : found->Value;
 }
 
-std::optional<double> gsNumberOf(gsLogRecord const& record,
-                                 std::string_view key)
+std::optional<double> gsLogFieldNumber(gsLogRecord const& record,
+                                       std::string_view key)
 {
-  std::string_view text = gsFieldOf(record, key);
+  std::string_view text = gsLogFieldValue(record, key);
   double number = 0;
   auto [end, error] =
     std::from_chars(text.data(), text.data() + text.size(), number);
-  bool whole = error == std::errc() && end == text.data() + text.size();
-  return whole && !text.empty() ? std::optional<double>(number) : std::nullopt;
+  bool isNumber = error == std::errc() && end == text.data() + text.size();
+  return isNumber && !text.empty() ? std::optional<double>(number)
+                                   : std::nullopt;
 }
--- a/Source/Core/gsNearMiss.cxx
+++ b/Source/Core/gsNearMiss.cxx
@@ -8,640 +8,707 @@
 #include <tuple>
 #include <utility>
 
-#include "gsNearMissWords.h"
+#include "gsNearMissAnnouncements.h"
 
 namespace {
 
-using Reader = gsNearMissReader;
+using Collector = gsNearMissCollector;
 
-/** The status by which an upstream says that it is not the one meant. */
+/** HTTP status by which an upstream reports that the request was addressed to
+ * another one. Such a request does not count as sent to it. */
 constexpr double StatusMisdirected = 421;
 constexpr double StatusOk = 200;
 
-std::uint64_t CountOf(gsLogRecord const& record, std::string_view key)
+std::uint64_t CountField(gsLogRecord const& record, std::string_view key)
 {
-  return static_cast<std::uint64_t>(gsNumberOf(record, key).value_or(0));
+  return static_cast<std::uint64_t>(gsLogFieldNumber(record, key).value_or(0));
 }
 
-void NoteStart(Reader& reader, Reader::Request const& request)
+/** Counts the first placement of a request if a stop of its host has been in
+ * progress for more than gsNearMissStopDetectionTime. */
+void CountLateStart(Collector& collector, Collector::Request const& request)
 {
-  auto stopping = reader.Stopping.find(request.Host);
-  if (stopping == reader.Stopping.end() || !stopping->second) {
+  auto stopping = collector.HostsStopping.find(request.Host);
+  if (stopping == collector.HostsStopping.end() || !stopping->second) {
     return;
   }
-  gsPlannedStop& stop = reader.Stops[request.Host].back();
-  gsTime after = request.PlacedAt - stop.At;
-  if (after > gsNearStopStart) {
-    ++stop.LateStarts;
-    stop.LastStart = after;
-    stop.LastRequest = request.Id;
+  gsPlannedStop& stop = collector.PlannedStops[request.Host].back();
+  gsTime delay = request.PlacedAt - stop.StartedAt;
+  if (delay > gsNearMissStopDetectionTime) {
+    ++stop.LateRequests;
+    stop.LastLateRequestDelay = delay;
+    stop.LastLateRequest = request.Id;
   }
 }
 
-Reader::Request FirstPlaced(gsLogRecord const& record)
+/** Reads a request from the record of its first placement. */
+Collector::Request ParseRequest(gsLogRecord const& record)
 {
-  Reader::Request request;
-  request.Id = gsFieldOf(record, "request");
+  Collector::Request request;
+  request.Id = gsLogFieldValue(record, "request");
   request.Host = record.Host;
-  request.Route = gsFieldOf(record, "route");
-  request.Service = gsFieldOf(record, "service");
-  request.Priority = static_cast<std::uint32_t>(CountOf(record, "priority"));
-  request.Prompt = gsNumberOf(record, "prompt_tokens").value_or(0);
-  request.PlacedAt = record.At;
+  request.Route = gsLogFieldValue(record, "route");
+  request.Service = gsLogFieldValue(record, "service");
+  request.Priority =
+    static_cast<std::uint32_t>(CountField(record, "priority"));
+  request.PromptTokens = gsLogFieldNumber(record, "prompt_tokens").value_or(0);
+  request.PlacedAt = record.Timestamp;
   return request;
 }
 
-void TakePlace(Reader& reader, gsLogRecord const& record)
+void CollectPlacement(Collector& collector, gsLogRecord const& record)
 {
-  std::string id(gsFieldOf(record, "request"));
-  auto known = reader.Open.find(id);
-  if (known == reader.Open.end()) {
-    known = reader.Open.emplace(id, FirstPlaced(record)).first;
-    NoteStart(reader, known->second);
+  std::string id(gsLogFieldValue(record, "request"));
+  auto found = collector.OpenRequests.find(id);
+  if (found == collector.OpenRequests.end()) {
+    found = collector.OpenRequests.emplace(id, ParseRequest(record)).first;
+    CountLateStart(collector, found->second);
   }
-  Reader::Request& request = known->second;
-  request.Upstream = gsFieldOf(record, "upstream");
-  request.Stream = request.Stream || gsFieldOf(record, "stream") == "yes";
-  request.SentAt = record.At;
-  if (!request.Upstream.empty() && request.BegunAt.count() == 0) {
-    request.BegunAt = record.At;
+  Collector::Request& request = found->second;
+  request.Upstream = gsLogFieldValue(record, "upstream");
+  request.Stream =
+    request.Stream || gsLogFieldValue(record, "stream") == "yes";
+  request.SentAt = record.Timestamp;
+  if (!request.Upstream.empty() && request.StartedAt.count() == 0) {
+    request.StartedAt = record.Timestamp;
   }
 }
 
-void NoteSent(Reader& reader, Reader::Request const& request)
+/** Adds the attempt in progress, if any, to the sent requests. */
+void AddSentRequest(Collector& collector, Collector::Request const& request)
 {
   if (!request.Upstream.empty()) {
-    reader.Sendings.push_back(
+    collector.SentRequests.push_back(
       { request.Upstream, request.Host, request.Id, request.SentAt });
   }
 }
 
-void TakeAttempt(Reader& reader, gsLogRecord const& record)
+void CollectAttempt(Collector& collector, gsLogRecord const& record)
 {
-  auto open = reader.Open.find(std::string(gsFieldOf(record, "request")));
-  if (open == reader.Open.end()) {
+  auto found = collector.OpenRequests.find(
+    std::string(gsLogFieldValue(record, "request")));
+  if (found == collector.OpenRequests.end()) {
     return;
   }
-  Reader::Request& request = open->second;
-  std::string_view end = gsFieldOf(record, "end");
-  double status = gsNumberOf(record, "status").value_or(0);
+  Collector::Request& request = found->second;
+  std::string_view end = gsLogFieldValue(record, "end");
+  double status = gsLogFieldNumber(record, "status").value_or(0);
   if (end != "not_sent" && status != StatusMisdirected) {
-    NoteSent(reader, request);
-  }
-  bool began = end == "whole" || end == "broken";
-  if (!began && request.BegunAt == request.SentAt) {
-    request.BegunAt = gsTime{};
-  }
-  request.Broken = request.Broken || end == "broken";
-  request.Silent = request.Silent || gsFieldOf(record, "silent") == "yes";
-  // Logs without begun= in their ends tell this much.
-  bool answering = status == StatusOk && gsNumberOf(record, "first_ms");
-  request.HadEvents = request.HadEvents || (request.Stream && answering);
+    AddSentRequest(collector, request);
+  }
+  bool isAccepted = end == "whole" || end == "broken";
+  if (!isAccepted && request.StartedAt == request.SentAt) {
+    request.StartedAt = gsTime{};
+  }
+  request.AttemptBroken = request.AttemptBroken || end == "broken";
+  request.UpstreamSilent =
+    request.UpstreamSilent || gsLogFieldValue(record, "silent") == "yes";
+  // Used if the end record has no begun field.
+  bool isAnswering =
+    status == StatusOk && gsLogFieldNumber(record, "first_ms");
+  request.CallerReceivedEvents =
+    request.CallerReceivedEvents || (request.Stream && isAnswering);
   request.Upstream.clear();
 }
 
-void TakeEnd(Reader& reader, gsLogRecord const& record)
+void CollectEnd(Collector& collector, gsLogRecord const& record)
 {
-  auto open = reader.Open.find(std::string(gsFieldOf(record, "request")));
-  if (open == reader.Open.end()) {
+  auto found = collector.OpenRequests.find(
+    std::string(gsLogFieldValue(record, "request")));
+  if (found == collector.OpenRequests.end()) {
     return;
   }
-  Reader::Request& request = open->second;
-  // An attempt that this host ended itself has no line of its own.
-  NoteSent(reader, request);
-  request.Result = gsFieldOf(record, "result");
-  request.EndedAt = record.At;
-  std::string_view begun = gsFieldOf(record, "begun");
-  request.HadEvents = begun.empty() ? request.HadEvents : begun == "yes";
-  reader.Ended.push_back(std::move(request));
-  reader.Open.erase(open);
+  Collector::Request& request = found->second;
+  // An attempt that was ended by its host has no record of its end.
+  AddSentRequest(collector, request);
+  request.Result = gsLogFieldValue(record, "result");
+  request.EndedAt = record.Timestamp;
+  std::string_view begun = gsLogFieldValue(record, "begun");
+  request.CallerReceivedEvents =
+    begun.empty() ? request.CallerReceivedEvents : begun == "yes";
+  collector.EndedRequests.push_back(std::move(request));
+  collector.OpenRequests.erase(found);
 }
 
-void TakeChange(Reader& reader, gsLogRecord const& record, bool leaves)
+void CollectRowChange(Collector& collector, gsLogRecord const& record,
+                      bool isLeaving)
 {
-  if (!gsNumberOf(record, "row_version")) {
-    return; // Another mode's event of that name.
+  if (!gsLogFieldNumber(record, "row_version")) {
+    return; // Another mode logs events of the same name.
   }
-  reader.Changes.push_back({ std::string(gsFieldOf(record, "upstream")),
-                             record.Host, leaves,
-                             CountOf(record, "row_version"), record.At });
+  collector.RowChanges.push_back(
+    { std::string(gsLogFieldValue(record, "upstream")), record.Host, isLeaving,
+      CountField(record, "row_version"), record.Timestamp });
 }
 
-void TakeWord(Reader& reader, gsLogRecord const& record)
+void CollectAnnouncement(Collector& collector, gsLogRecord const& record)
 {
-  Reader::Word word;
-  word.Upstream = gsFieldOf(record, "upstream");
-  word.Host = record.Host;
-  word.Leaving = gsFieldOf(record, "leaving") == "yes";
-  word.Rest = gsFromSeconds(gsNumberOf(record, "rest_ms").value_or(0) / 1e3);
-  word.At = record.At;
-  reader.Words.push_back(std::move(word));
+  Collector::Announcement announcement;
+  announcement.Upstream = gsLogFieldValue(record, "upstream");
+  announcement.Host = record.Host;
+  announcement.Leaving = gsLogFieldValue(record, "leaving") == "yes";
+  announcement.RetryDelay =
+    gsFromSeconds(gsLogFieldNumber(record, "rest_ms").value_or(0) / 1e3);
+  announcement.ReceivedAt = record.Timestamp;
+  collector.Announcements.push_back(std::move(announcement));
 }
 
-/** A host that starts again knows no words of before; with an upstream, those
- * of that one alone. */
-void EndWords(Reader& reader, gsLogRecord const& record,
-              std::string_view upstream)
+/** Ends the announcements received by a host that has restarted and thereby
+ * lost them. If an upstream is given, ends only those of this upstream. */
+void EndAnnouncements(Collector& collector, gsLogRecord const& record,
+                      std::string_view upstream)
 {
-  for (Reader::Word& word : reader.Words) {
-    bool ends = word.Host == record.Host &&
-                (upstream.empty() || word.Upstream == upstream);
-    if (ends) {
-      word.Until = std::min(word.Until, record.At);
+  for (Collector::Announcement& announcement : collector.Announcements) {
+    bool isAffected = announcement.Host == record.Host &&
+                      (upstream.empty() || announcement.Upstream == upstream);
+    if (isAffected) {
+      announcement.ValidUntil =
+        std::min(announcement.ValidUntil, record.Timestamp);
     }
   }
 }
 
-/** Copies are compared by the version up to which they call themselves
- * complete; older logs tell that of the last row alone. Right after news that
- * were not complete a copy holds rows beyond what it claims. */
-void TakeUpstreams(Reader& reader, gsLogRecord const& record)
+/**
+ * Replicas are compared by the version up to which they are complete. Older
+ * logs contain only the version of the last row, which is used instead. A
+ * replica is not compared immediately after an incomplete update, because it
+ * then contains rows beyond the version up to which it is complete.
+ */
+void CollectReplicaState(Collector& collector, gsLogRecord const& record)
 {
-  std::string counts(gsFieldOf(record, "listed"));
+  std::string counts(gsLogFieldValue(record, "listed"));
   counts += '/';
-  counts += gsFieldOf(record, "leaving");
-  bool told = !gsFieldOf(record, "complete_to").empty();
+  counts += gsLogFieldValue(record, "leaving");
+  bool hasCompleteVersion = !gsLogFieldValue(record, "complete_to").empty();
   std::uint64_t version =
-    CountOf(record, told ? "complete_to" : "row_version");
-  bool claims = reader.Partial.count(record.Host) == 0;
-  reader.Copies[record.Host].push_back(
-    { claims ? version : 0, std::move(counts), record.At });
+    CountField(record, hasCompleteVersion ? "complete_to" : "row_version");
+  bool isComparable = collector.IncompleteHosts.count(record.Host) == 0;
+  collector.ReplicaStates[record.Host].push_back(
+    { isComparable ? version : 0, std::move(counts), record.Timestamp });
 }
 
-/** Notes whether a host's next line tells of news with rows missing. */
-void NotePartial(Reader& reader, gsLogRecord const& record)
+/** Updates whether the last record of a host is about a table update with
+ * missing rows. Called after the record has been collected. */
+void UpdateIncompleteHosts(Collector& collector, gsLogRecord const& record)
 {
-  bool partial =
-    record.Event == "table_learned" && gsFieldOf(record, "complete") == "no";
-  if (partial) {
-    reader.Partial.insert(record.Host);
+  bool isIncomplete = record.Event == "table_learned" &&
+                      gsLogFieldValue(record, "complete") == "no";
+  if (isIncomplete) {
+    collector.IncompleteHosts.insert(record.Host);
   } else {
-    reader.Partial.erase(record.Host);
+    collector.IncompleteHosts.erase(record.Host);
   }
 }
 
-void TakeStopping(Reader& reader, gsLogRecord const& record)
+void CollectStopStart(Collector& collector, gsLogRecord const& record)
 {
   gsPlannedStop stop;
   stop.Host = record.Host;
-  stop.At = record.At;
-  reader.Stops[record.Host].push_back(std::move(stop));
-  reader.Stopping[record.Host] = true;
+  stop.StartedAt = record.Timestamp;
+  collector.PlannedStops[record.Host].push_back(std::move(stop));
+  collector.HostsStopping[record.Host] = true;
 }
 
-/** Streams that a host had open at its end were cut by the stop. Its log does
- * not tell whether their callers had events. */
-void CutOpenStreams(Reader& reader, gsLogRecord const& record)
+/** Ends the requests that a host had open at the end of its stop, which
+ * interrupted them. Its log does not contain whether their callers received
+ * events; all streams are assumed to have had some. */
+void InterruptOpenRequests(Collector& collector, gsLogRecord const& record)
 {
-  for (auto open = reader.Open.begin(); open != reader.Open.end();) {
-    Reader::Request& request = open->second;
+  for (auto open = collector.OpenRequests.begin();
+       open != collector.OpenRequests.end();) {
+    Collector::Request& request = open->second;
     if (request.Host != record.Host) {
       ++open;
       continue;
     }
     request.Result = "stop";
-    request.EndedAt = record.At;
-    request.HadEvents = request.Stream;
-    reader.Ended.push_back(std::move(request));
-    open = reader.Open.erase(open);
+    request.EndedAt = record.Timestamp;
+    request.CallerReceivedEvents = request.Stream;
+    collector.EndedRequests.push_back(std::move(request));
+    open = collector.OpenRequests.erase(open);
   }
 }
 
-void TakeStopped(Reader& reader, gsLogRecord const& record)
+void CollectStopEnd(Collector& collector, gsLogRecord const& record)
 {
-  auto stopping = reader.Stopping.find(record.Host);
-  if (stopping == reader.Stopping.end() || !stopping->second) {
+  auto stopping = collector.HostsStopping.find(record.Host);
+  if (stopping == collector.HostsStopping.end() || !stopping->second) {
     return;
   }
   stopping->second = false;
-  gsPlannedStop& stop = reader.Stops[record.Host].back();
+  gsPlannedStop& stop = collector.PlannedStops[record.Host].back();
   stop.Ended = true;
-  stop.Took = record.At - stop.At;
-  stop.Cut = CountOf(record, "cut");
-  stop.Open = CountOf(record, "open");
-  stop.Unread = CountOf(record, "unread");
-  CutOpenStreams(reader, record);
-}
-
-void TakeDiffers(Reader& reader, gsLogRecord const& record)
-{
-  std::string table(gsFieldOf(record, "table"));
-  auto known = std::find_if(reader.Differing.begin(), reader.Differing.end(),
-                            [&](gsDifferingTable const& differing) {
-                              return differing.Host == record.Host &&
-                                     differing.Table == table;
-                            });
-  if (known == reader.Differing.end()) {
-    gsDifferingTable differing;
-    differing.Host = record.Host;
-    differing.Table = std::move(table);
-    known = reader.Differing.insert(known, std::move(differing));
-  }
-  ++known->Times;
-  known->Peer = gsFieldOf(record, "peer");
-  known->Version = gsFieldOf(record, "version");
-  known->Rows = gsFieldOf(record, "rows");
-  known->PeerRows = gsFieldOf(record, "peer_rows");
-}
-
-gsNearTimes TimesOf(std::vector<gsTime> times)
-{
-  gsNearTimes result;
-  result.Count = times.size();
-  if (times.empty()) {
+  stop.Duration = record.Timestamp - stop.StartedAt;
+  stop.InterruptedRequests = CountField(record, "cut");
+  stop.OpenExchanges = CountField(record, "open");
+  stop.UnreadConnections = CountField(record, "unread");
+  InterruptOpenRequests(collector, record);
+}
+
+void CollectDivergence(Collector& collector, gsLogRecord const& record)
+{
+  std::string table(gsLogFieldValue(record, "table"));
+  auto found = std::find_if(
+    collector.DivergentTables.begin(), collector.DivergentTables.end(),
+    [&](gsDivergentTable const& divergent) {
+      return divergent.Host == record.Host && divergent.Table == table;
+    });
+  if (found == collector.DivergentTables.end()) {
+    gsDivergentTable divergent;
+    divergent.Host = record.Host;
+    divergent.Table = std::move(table);
+    found = collector.DivergentTables.insert(found, std::move(divergent));
+  }
+  ++found->DetectionCount;
+  found->Peer = gsLogFieldValue(record, "peer");
+  found->Version = gsLogFieldValue(record, "version");
+  found->Rows = gsLogFieldValue(record, "rows");
+  found->PeerRows = gsLogFieldValue(record, "peer_rows");
+}
+
+gsDurationSummary SummarizeDurations(std::vector<gsTime> durations)
+{
+  gsDurationSummary result;
+  result.Count = durations.size();
+  if (durations.empty()) {
     return result;
   }
-  constexpr std::size_t percents = 100;
-  constexpr std::size_t high = 95;
-  std::sort(times.begin(), times.end());
-  // The nearest rank: the smallest value that the share does not exceed.
-  std::size_t rank = (times.size() * high + percents - 1) / percents;
-  result.Median = times[(times.size() - 1) / 2];
-  result.P95 = times[rank - 1];
-  result.Most = times.back();
+  constexpr std::size_t hundredPercent = 100;
+  constexpr std::size_t percentile = 95;
+  std::sort(durations.begin(), durations.end());
+  // Nearest-rank method: the smallest value that at least 95 % of all values
+  // do not exceed.
+  std::size_t rank =
+    (durations.size() * percentile + hundredPercent - 1) / hundredPercent;
+  result.Median = durations[(durations.size() - 1) / 2];
+  result.P95 = durations[rank - 1];
+  result.Max = durations.back();
   return result;
 }
 
-/** From when on, and until when, an upstream was known to leave. */
+/** Period in which at least one host knew that an upstream was leaving. */
 struct Departure
 {
-  Reader::Change First;
-  gsTime Until = gsTime::max();
-  std::uint64_t ListedVersion = 0; ///< Of the row that ended it.
+  Collector::RowChange FirstChange; ///< The change that began it.
+  /** When the upstream was listed again; the maximum while it is leaving. */
+  gsTime EndedAt = gsTime::max();
+  std::uint64_t RelistedVersion = 0; ///< Version of the row that ended it.
 };
 
+/** Departures in order of time, by upstream. */
 using Departures = std::unordered_map<std::string, std::vector<Departure>>;
 
-/** A row of a higher version that lists the upstream ends a departure; hosts
- * that read an older one late do not. */
-void NoteChange(std::vector<Departure>& known, Reader::Change const& change)
-{
-  bool open = !known.empty() && known.back().Until == gsTime::max();
-  if (change.Leaves) {
-    bool late = !known.empty() && change.Version <= known.back().ListedVersion;
-    if (!open && !late) {
-      known.emplace_back();
-      known.back().First = change;
+/** Applies a row change to the departures of its upstream, the last of which
+ * may be open. A departure ends when a row of a higher version lists the
+ * upstream again. Rows of earlier versions that a host reads late neither
+ * begin nor end a departure. */
+void ApplyRowChange(std::vector<Departure>& departures,
+                    Collector::RowChange const& change)
+{
+  bool isOpen =
+    !departures.empty() && departures.back().EndedAt == gsTime::max();
+  if (change.Leaving) {
+    bool isOutdated = !departures.empty() &&
+                      change.Version <= departures.back().RelistedVersion;
+    if (!isOpen && !isOutdated) {
+      departures.emplace_back();
+      departures.back().FirstChange = change;
     }
     return;
   }
-  if (open && change.Version > known.back().First.Version) {
-    known.back().Until = change.At;
-    known.back().ListedVersion = change.Version;
+  if (isOpen && change.Version > departures.back().FirstChange.Version) {
+    departures.back().EndedAt = change.ReadAt;
+    departures.back().RelistedVersion = change.Version;
   }
 }
 
-Departures DeparturesOf(Reader const& reader)
+Departures FindDepartures(Collector const& collector)
 {
-  std::vector<Reader::Change> changes = reader.Changes;
-  std::stable_sort(changes.begin(), changes.end(),
-                   [](Reader::Change const& a, Reader::Change const& b) {
-                     return a.At < b.At;
-                   });
+  std::vector<Collector::RowChange> changes = collector.RowChanges;
+  std::stable_sort(
+    changes.begin(), changes.end(),
+    [](Collector::RowChange const& a, Collector::RowChange const& b) {
+      return a.ReadAt < b.ReadAt;
+    });
   Departures departures;
-  for (Reader::Change const& change : changes) {
-    NoteChange(departures[change.Upstream], change);
+  for (Collector::RowChange const& change : changes) {
+    ApplyRowChange(departures[change.Upstream], change);
   }
   return departures;
 }
 
-/** For each departure of an upstream, the last request of each host. */
-using LastByHost = std::vector<std::map<std::string, gsLastSent>>;
+/** For each departure of an upstream, the last request of each host, by
+ * host. */
+using LastRequestsByDeparture =
+  std::vector<std::map<std::string, gsLastUpstreamRequest>>;
 
-void NoteLast(std::vector<Departure> const& departures, LastByHost& last,
-              Reader::Sent const& sent)
+/** Updates the last request of a host in each departure that covers it. */
+void UpdateLastRequests(std::vector<Departure> const& departures,
+                        LastRequestsByDeparture& lastRequests,
+                        Collector::SentRequest const& sent)
 {
   for (std::size_t i = 0; i < departures.size(); ++i) {
-    gsTime after = sent.At - departures[i].First.At;
-    if (after.count() < 0 || sent.At >= departures[i].Until) {
+    gsTime delay = sent.SentAt - departures[i].FirstChange.ReadAt;
+    if (delay.count() < 0 || sent.SentAt >= departures[i].EndedAt) {
       continue;
     }
-    gsLastSent& known = last[i][sent.Host];
-    if (known.Host.empty() || after > known.After) {
-      known = { sent.Upstream, sent.Host, sent.Request, after };
+    gsLastUpstreamRequest& lastRequest = lastRequests[i][sent.Host];
+    if (lastRequest.Host.empty() || delay > lastRequest.Delay) {
+      lastRequest = { sent.Upstream, sent.Host, sent.RequestId, delay };
     }
   }
 }
 
-std::unordered_map<std::string, LastByHost> LastSendings(
-  Reader const& reader, Departures const& departures)
+std::unordered_map<std::string, LastRequestsByDeparture> FindLastRequests(
+  Collector const& collector, Departures const& departures)
 {
-  std::unordered_map<std::string, LastByHost> last;
-  for (Reader::Sent const& sent : reader.Sendings) {
-    auto departed = departures.find(sent.Upstream);
-    if (departed == departures.end()) {
+  std::unordered_map<std::string, LastRequestsByDeparture> lastRequests;
+  for (Collector::SentRequest const& sent : collector.SentRequests) {
+    auto found = departures.find(sent.Upstream);
+    if (found == departures.end()) {
       continue;
     }
-    LastByHost& byHost = last[sent.Upstream];
-    byHost.resize(departed->second.size());
-    NoteLast(departed->second, byHost, sent);
+    LastRequestsByDeparture& byDeparture = lastRequests[sent.Upstream];
+    byDeparture.resize(found->second.size());
+    UpdateLastRequests(found->second, byDeparture, sent);
   }
-  return last;
+  return lastRequests;
 }
 
-void AddDeparture(gsNearMissReport& report, Departure const& departure,
-                  std::map<std::string, gsLastSent> const& byHost,
-                  std::vector<gsTime>& all)
+void ReportDeparture(
+  gsNearMissReport& report, Departure const& departure,
+  std::map<std::string, gsLastUpstreamRequest> const& byHost,
+  std::vector<gsTime>& allDelays)
 {
-  std::vector<gsTime> times;
+  std::vector<gsTime> delays;
   for (auto const& [host, sent] : byHost) {
-    times.push_back(sent.After);
-    all.push_back(sent.After);
-    if (gsToSeconds(sent.After) >
-        gsNearLeavingShare * gsToSeconds(report.LeavingBound)) {
-      report.LateSent.push_back(sent);
+    delays.push_back(sent.Delay);
+    allDelays.push_back(sent.Delay);
+    if (gsToSeconds(sent.Delay) >
+        gsNearMissLeavingShare * gsToSeconds(report.LeavingBound)) {
+      report.LateRequests.push_back(sent);
     }
   }
-  report.Leaving.push_back({ departure.First.Upstream, departure.First.Host,
-                             departure.First.At, TimesOf(std::move(times)) });
+  report.LeavingUpstreams.push_back(
+    { departure.FirstChange.Upstream, departure.FirstChange.Host,
+      departure.FirstChange.ReadAt, SummarizeDurations(std::move(delays)) });
 }
 
-void SumLeaving(Reader const& reader, gsNearMissReport& report)
+void ReportLeavingUpstreams(Collector const& collector,
+                            gsNearMissReport& report)
 {
-  Departures departures = DeparturesOf(reader);
-  auto last = LastSendings(reader, departures);
-  std::vector<gsTime> all;
-  for (auto const& [upstream, known] : departures) {
-    LastByHost& byHost = last[upstream];
-    byHost.resize(known.size());
-    for (std::size_t i = 0; i < known.size(); ++i) {
-      AddDeparture(report, known[i], byHost[i], all);
+  Departures departures = FindDepartures(collector);
+  auto lastRequests = FindLastRequests(collector, departures);
+  std::vector<gsTime> allDelays;
+  for (auto const& [upstream, upstreamDepartures] : departures) {
+    LastRequestsByDeparture& byDeparture = lastRequests[upstream];
+    byDeparture.resize(upstreamDepartures.size());
+    for (std::size_t i = 0; i < upstreamDepartures.size(); ++i) {
+      ReportDeparture(report, upstreamDepartures[i], byDeparture[i],
+                      allDelays);
     }
   }
-  report.LastSent = TimesOf(std::move(all));
-  std::sort(report.Leaving.begin(), report.Leaving.end(),
+  report.LastRequestDelays = SummarizeDurations(std::move(allDelays));
+  std::sort(report.LeavingUpstreams.begin(), report.LeavingUpstreams.end(),
             [](gsLeavingUpstream const& a, gsLeavingUpstream const& b) {
-              return a.Last.Most != b.Last.Most ? a.Last.Most > b.Last.Most
-                                                : std::tie(a.At, a.Upstream) <
-                                                    std::tie(b.At, b.Upstream);
-            });
-  std::sort(report.LateSent.begin(), report.LateSent.end(),
-            [](gsLastSent const& a, gsLastSent const& b) {
-              return a.After != b.After ? a.After > b.After
-                                        : a.Request < b.Request;
+              return a.LastRequestDelays.Max != b.LastRequestDelays.Max
+                       ? a.LastRequestDelays.Max > b.LastRequestDelays.Max
+                       : std::tie(a.DetectedAt, a.Upstream) <
+                           std::tie(b.DetectedAt, b.Upstream);
             });
+  std::sort(
+    report.LateRequests.begin(), report.LateRequests.end(),
+    [](gsLastUpstreamRequest const& a, gsLastUpstreamRequest const& b) {
+      return a.Delay != b.Delay ? a.Delay > b.Delay
+                                : a.RequestId < b.RequestId;
+    });
 }
 
-/** Prompts, and how many of them the logs tell. */
-struct Prompts
+/** Sizes of the prompts whose size is logged. */
+struct PromptSizes
 {
-  std::vector<double> Sizes;
+  std::vector<double> Tokens;
   double Sum = 0;
 
   void Add(double size)
   {
     if (size > 0) {
-      this->Sizes.push_back(size);
+      this->Tokens.push_back(size);
       this->Sum += size;
     }
   }
 
-  void Add(Prompts const& other)
+  void Add(PromptSizes const& other)
   {
-    this->Sizes.insert(this->Sizes.end(), other.Sizes.begin(),
-                       other.Sizes.end());
+    this->Tokens.insert(this->Tokens.end(), other.Tokens.begin(),
+                        other.Tokens.end());
     this->Sum += other.Sum;
   }
 
   double Mean() const
   {
-    return this->Sizes.empty()
+    return this->Tokens.empty()
              ? 0
-             : this->Sum / static_cast<double>(this->Sizes.size());
+             : this->Sum / static_cast<double>(this->Tokens.size());
   }
 };
 
-/** A kind's requests that arrived, or began, in a second or a span. */
-struct KindCount
+/** Requests of a route that arrived or started in a second or a window. A
+ * request is counted as unserved in the second of its arrival. */
+struct RequestCounts
 {
   std::uint64_t Requests = 0;
-  gsUnservedCount Unserved;
+  gsUnservedCounts Unserved;
   std::uint64_t Failed = 0;
-  Prompts Arrived;
-  std::uint64_t Begun = 0;
-  Prompts BegunPrompts;
+  PromptSizes ArrivedPrompts;
+  std::uint64_t Started = 0;
+  PromptSizes StartedPrompts;
 };
 
-struct Kind
+/** Requests of a route of a service. */
+struct RouteRequests
 {
-  std::map<std::uint32_t, std::uint64_t> Priorities;
-  std::map<std::int64_t, KindCount> Seconds; ///< Since the first line.
+  /** Numbers of requests by priority. */
+  std::map<std::uint32_t, std::uint64_t> CountsByPriority;
+  /** Counts by the second since the first record. */
+  std::map<std::int64_t, RequestCounts> CountsBySecond;
 
-  /** The one that most of its requests have. */
+  /** The priority of most requests; 0 if there is no request. */
   std::uint32_t Priority() const
   {
-    auto most = std::max_element(
-      this->Priorities.begin(), this->Priorities.end(),
+    auto mostFrequent = std::max_element(
+      this->CountsByPriority.begin(), this->CountsByPriority.end(),
       [](auto const& a, auto const& b) { return a.second < b.second; });
-    return most == this->Priorities.end() ? 0 : most->first;
+    return mostFrequent == this->CountsByPriority.end() ? 0
+                                                        : mostFrequent->first;
   }
 };
 
-using Kinds = std::map<std::string, Kind>;           ///< By route.
-using KindsByService = std::map<std::string, Kinds>; ///< By service.
+using RequestsByRoute = std::map<std::string, RouteRequests>;
+using RoutesByService = std::map<std::string, RequestsByRoute>;
 
-bool IsOneOf(std::string_view word,
-             std::initializer_list<std::string_view> words)
+bool IsOneOf(std::string_view value,
+             std::initializer_list<std::string_view> values)
 {
-  return std::find(words.begin(), words.end(), word) != words.end();
+  return std::find(values.begin(), values.end(), value) != values.end();
 }
 
-/** Counts a request that got nothing under its cause. */
-void CountUnserved(Reader::Request const& request, KindCount& count)
+/** Counts a request that was not served by its cause. */
+void CountUnserved(Collector::Request const& request, RequestCounts& count)
 {
   std::string_view result = request.Result;
   if (result.empty() || result == "whole") {
-    return; // The log ends before an open request does.
+    return; // An empty result means that the log ends before the request.
   }
   if (result == "failed_answer") {
     ++count.Failed;
   } else if (result == "caller_left") {
-    count.Unserved.CallerLeft += request.HadEvents ? 0 : 1;
+    count.Unserved.CallerLeft += request.CallerReceivedEvents ? 0 : 1;
   } else if (result == "not_executed") {
-    ++count.Unserved.TurnedAway;
+    ++count.Unserved.Rejected;
   } else if (IsOneOf(result, { "route_timeout", "deadline" })) {
     ++count.Unserved.TimedOut;
   } else if (IsOneOf(result, { "no_upstream", "no_connection", "full",
                                "unreachable", "not_sent" })) {
     ++count.Unserved.NoUpstream;
   } else {
-    ++count.Unserved.Cut;
+    ++count.Unserved.Incomplete;
   }
 }
 
-std::int64_t SecondOf(gsTime at, gsTime first)
+std::int64_t SecondOf(gsTime at, gsTime firstAt)
 {
-  return std::chrono::duration_cast<gsSeconds>(at - first).count();
+  return std::chrono::duration_cast<gsSeconds>(at - firstAt).count();
 }
 
-void CountRequest(Reader::Request const& request, gsTime first,
-                  KindsByService& services)
+void CountRequest(Collector::Request const& request, gsTime firstAt,
+                  RoutesByService& services)
 {
-  Kind& kind = services[request.Service][request.Route];
-  ++kind.Priorities[request.Priority];
-  KindCount& arrived = kind.Seconds[SecondOf(request.PlacedAt, first)];
-  ++arrived.Requests;
-  arrived.Arrived.Add(request.Prompt);
-  CountUnserved(request, arrived);
-  if (request.BegunAt.count() != 0) {
-    KindCount& begun = kind.Seconds[SecondOf(request.BegunAt, first)];
-    ++begun.Begun;
-    begun.BegunPrompts.Add(request.Prompt);
+  RouteRequests& routeRequests = services[request.Service][request.Route];
+  ++routeRequests.CountsByPriority[request.Priority];
+  RequestCounts& arrivals =
+    routeRequests.CountsBySecond[SecondOf(request.PlacedAt, firstAt)];
+  ++arrivals.Requests;
+  arrivals.ArrivedPrompts.Add(request.PromptTokens);
+  CountUnserved(request, arrivals);
+  if (request.StartedAt.count() != 0) {
+    RequestCounts& starts =
+      routeRequests.CountsBySecond[SecondOf(request.StartedAt, firstAt)];
+    ++starts.Started;
+    starts.StartedPrompts.Add(request.PromptTokens);
   }
 }
 
-KindsByService KindsOf(Reader const& reader)
+RoutesByService CountRequestsByService(Collector const& collector)
 {
-  KindsByService services;
-  for (Reader::Request const& request : reader.Ended) {
-    CountRequest(request, reader.FirstAt, services);
+  RoutesByService services;
+  for (Collector::Request const& request : collector.EndedRequests) {
+    CountRequest(request, collector.FirstAt, services);
   }
-  for (auto const& [id, request] : reader.Open) {
-    CountRequest(request, reader.FirstAt, services);
+  for (auto const& [id, request] : collector.OpenRequests) {
+    CountRequest(request, collector.FirstAt, services);
   }
   return services;
 }
 
-void Add(gsUnservedCount& sum, gsUnservedCount const& count)
+void Add(gsUnservedCounts& sum, gsUnservedCounts const& count)
 {
-  sum.TurnedAway += count.TurnedAway;
+  sum.Rejected += count.Rejected;
   sum.NoUpstream += count.NoUpstream;
   sum.CallerLeft += count.CallerLeft;
-  sum.Cut += count.Cut;
+  sum.Incomplete += count.Incomplete;
   sum.TimedOut += count.TimedOut;
 }
 
-constexpr std::int64_t SpanSeconds =
-  std::chrono::duration_cast<gsSeconds>(gsNearSpan).count();
+constexpr std::int64_t WindowSeconds =
+  std::chrono::duration_cast<gsSeconds>(gsNearMissWindow).count();
 
-KindCount SpanOf(Kind const& kind, std::int64_t from)
+/** Counts of the window that begins at a second. */
+RequestCounts SumWindow(RouteRequests const& routeRequests, std::int64_t from)
 {
-  KindCount sum;
-  auto end = kind.Seconds.lower_bound(from + SpanSeconds);
-  for (auto at = kind.Seconds.lower_bound(from); at != end; ++at) {
-    KindCount const& count = at->second;
+  RequestCounts sum;
+  auto end = routeRequests.CountsBySecond.lower_bound(from + WindowSeconds);
+  for (auto at = routeRequests.CountsBySecond.lower_bound(from); at != end;
+       ++at) {
+    RequestCounts const& count = at->second;
     sum.Requests += count.Requests;
     Add(sum.Unserved, count.Unserved);
     sum.Failed += count.Failed;
-    sum.Arrived.Add(count.Arrived);
-    sum.Begun += count.Begun;
-    sum.BegunPrompts.Add(count.BegunPrompts);
+    sum.ArrivedPrompts.Add(count.ArrivedPrompts);
+    sum.Started += count.Started;
+    sum.StartedPrompts.Add(count.StartedPrompts);
   }
   return sum;
 }
 
-bool IsOften(gsUnservedCount const& unserved, std::uint64_t requests)
+/** Whether a number of unserved requests has to be reported, given the number
+ * of all requests. */
+bool ExceedsUnservedThreshold(gsUnservedCounts const& unserved,
+                              std::uint64_t requests)
 {
-  return unserved.Sum() >= gsNearUnserved &&
-         static_cast<double>(unserved.Sum()) >
-           gsNearUnservedShare * static_cast<double>(requests);
+  return unserved.Total() >= gsNearMissMinUnserved &&
+         static_cast<double>(unserved.Total()) >
+           gsNearMissUnservedShare * static_cast<double>(requests);
 }
 
-/** What began of the less urgent kinds of the service in a span. */
-KindCount LessUrgentOf(Kinds const& kinds, std::uint32_t priority,
-                       std::int64_t from)
+/** Requests of less urgent routes of the service that started in the window
+ * that begins at a second. */
+RequestCounts SumLessUrgentStarts(RequestsByRoute const& routes,
+                                  std::uint32_t priority, std::int64_t from)
 {
-  KindCount sum;
-  for (auto const& [route, kind] : kinds) {
-    if (kind.Priority() > priority) {
-      KindCount count = SpanOf(kind, from);
-      sum.Begun += count.Begun;
-      sum.BegunPrompts.Add(count.BegunPrompts);
+  RequestCounts sum;
+  for (auto const& [route, routeRequests] : routes) {
+    if (routeRequests.Priority() > priority) {
+      RequestCounts window = SumWindow(routeRequests, from);
+      sum.Started += window.Started;
+      sum.StartedPrompts.Add(window.StartedPrompts);
     }
   }
   return sum;
 }
 
-void CompareSizes(gsKindBehind& behind, KindCount const& own,
-                  KindCount const& less)
+/** Sets the ratio of prompt sizes and the number of larger prompts. Does
+ * nothing if no prompt size of the route is logged. */
+void ComparePromptSizes(gsStarvedRoute& starved, RequestCounts const& own,
+                        RequestCounts const& lessUrgent)
 {
-  double mean = own.Arrived.Mean();
+  double mean = own.ArrivedPrompts.Mean();
   if (mean <= 0) {
     return;
   }
-  behind.PromptRatio = less.BegunPrompts.Mean() / mean;
-  std::vector<double> const& sizes = less.BegunPrompts.Sizes;
-  behind.LargerPrompt = static_cast<std::uint64_t>(
+  starved.PromptRatio = lessUrgent.StartedPrompts.Mean() / mean;
+  std::vector<double> const& sizes = lessUrgent.StartedPrompts.Tokens;
+  starved.LargerPromptStarted = static_cast<std::uint64_t>(
     std::count_if(sizes.begin(), sizes.end(), [mean](double size) {
-      return size > gsNearLargerPrompt * mean;
+      return size > gsNearMissLargerPromptRatio * mean;
     }));
 }
 
-/** The span as a finding, if it is one. */
-std::optional<gsKindBehind> BehindAt(Kinds const& kinds, Kind const& kind,
-                                     std::int64_t from)
+/** Evaluates the window that begins at a second. \return Empty if the route
+ * was not starved in it. */
+std::optional<gsStarvedRoute> EvaluateWindow(
+  RequestsByRoute const& routes, RouteRequests const& routeRequests,
+  std::int64_t from)
 {
-  KindCount own = SpanOf(kind, from);
-  if (!IsOften(own.Unserved, own.Requests)) {
+  RequestCounts own = SumWindow(routeRequests, from);
+  if (!ExceedsUnservedThreshold(own.Unserved, own.Requests)) {
     return std::nullopt;
   }
-  gsKindBehind behind;
-  behind.Priority = kind.Priority();
-  KindCount less = LessUrgentOf(kinds, behind.Priority, from);
-  if (less.Begun == 0) {
+  gsStarvedRoute starved;
+  starved.Priority = routeRequests.Priority();
+  RequestCounts lessUrgent =
+    SumLessUrgentStarts(routes, starved.Priority, from);
+  if (lessUrgent.Started == 0) {
     return std::nullopt;
   }
-  behind.Requests = own.Requests;
-  behind.Unserved = own.Unserved;
-  behind.Failed = own.Failed;
-  behind.LessUrgent = less.Begun;
-  CompareSizes(behind, own, less);
-  return behind;
+  starved.RequestCount = own.Requests;
+  starved.Unserved = own.Unserved;
+  starved.FailedRequests = own.Failed;
+  starved.LessUrgentStarted = lessUrgent.Started;
+  ComparePromptSizes(starved, own, lessUrgent);
+  return starved;
 }
 
-/** Adds a span to those told, as part of the last one if they overlap. */
-void AddBehind(std::vector<gsKindBehind>& found, gsKindBehind behind)
+/** Adds a window to the findings. Merges it into the last one if they
+ * overlap. */
+void AddOrMergeWindow(std::vector<gsStarvedRoute>& found,
+                      gsStarvedRoute window)
 {
-  if (found.empty() || behind.From > found.back().Until) {
-    found.push_back(std::move(behind));
+  if (found.empty() || window.From > found.back().Until) {
+    found.push_back(std::move(window));
     return;
   }
-  gsKindBehind& last = found.back();
-  if (behind.Share() > last.Share()) {
-    behind.From = last.From;
-    last = std::move(behind);
+  gsStarvedRoute& last = found.back();
+  if (window.UnservedShare() > last.UnservedShare()) {
+    window.From = last.From;
+    last = std::move(window);
   } else {
-    last.Until = behind.Until;
+    last.Until = window.Until;
   }
 }
 
-std::vector<gsKindBehind> BehindOf(Kinds const& kinds, Kind const& kind,
-                                   gsTime first)
+/** Evaluates all windows that contain counts of a route. */
+std::vector<gsStarvedRoute> FindStarvedWindows(
+  RequestsByRoute const& routes, RouteRequests const& routeRequests,
+  gsTime firstAt)
 {
-  std::vector<gsKindBehind> found;
-  std::int64_t begin = kind.Seconds.begin()->first - SpanSeconds + 1;
-  std::int64_t end = kind.Seconds.rbegin()->first;
+  std::vector<gsStarvedRoute> found;
+  std::int64_t begin =
+    routeRequests.CountsBySecond.begin()->first - WindowSeconds + 1;
+  std::int64_t end = routeRequests.CountsBySecond.rbegin()->first;
   for (std::int64_t from = std::max<std::int64_t>(begin, 0); from <= end;
        ++from) {
-    std::optional<gsKindBehind> behind = BehindAt(kinds, kind, from);
-    if (behind) {
-      behind->Worst = first + gsSeconds(from);
-      behind->From = behind->Worst;
-      behind->Until = behind->Worst + gsNearSpan;
-      AddBehind(found, std::move(*behind));
+    std::optional<gsStarvedRoute> window =
+      EvaluateWindow(routes, routeRequests, from);
+    if (window) {
+      window->WorstWindowAt = firstAt + gsSeconds(from);
+      window->From = window->WorstWindowAt;
+      window->Until = window->WorstWindowAt + gsNearMissWindow;
+      AddOrMergeWindow(found, std::move(*window));
     }
   }
   return found;
 }
 
-void SumBehind(Reader const& reader, gsNearMissReport& report)
+void ReportStarvedRoutes(Collector const& collector, gsNearMissReport& report)
 {
-  for (auto const& [service, kinds] : KindsOf(reader)) {
-    for (auto const& [route, kind] : kinds) {
-      for (gsKindBehind& behind : BehindOf(kinds, kind, reader.FirstAt)) {
-        behind.Service = service;
-        behind.Route = route;
-        report.Behind.push_back(std::move(behind));
+  for (auto const& [service, routes] : CountRequestsByService(collector)) {
+    for (auto const& [route, routeRequests] : routes) {
+      for (gsStarvedRoute& starved :
+           FindStarvedWindows(routes, routeRequests, collector.FirstAt)) {
+        starved.Service = service;
+        starved.Route = route;
+        report.StarvedRoutes.push_back(std::move(starved));
       }
     }
   }
-  std::stable_sort(report.Behind.begin(), report.Behind.end(),
-                   [](gsKindBehind const& a, gsKindBehind const& b) {
+  std::stable_sort(report.StarvedRoutes.begin(), report.StarvedRoutes.end(),
+                   [](gsStarvedRoute const& a, gsStarvedRoute const& b) {
                      return a.From < b.From;
                    });
 }
 
-std::string CloseCause(Reader::Request const& request)
+std::string InterruptionCause(Collector::Request const& request)
 {
   if (IsOneOf(request.Result, { "route_timeout", "deadline" })) {
     return "timeout";
@@ -649,171 +716,183 @@
   if (request.Result == "stop") {
     return "stop";
   }
-  if (request.Silent) {
+  if (request.UpstreamSilent) {
     return "silence";
   }
-  return request.Broken ? "upstream_broke" : request.Result;
+  return request.AttemptBroken ? "upstream_broke" : request.Result;
 }
 
-void SumClosed(Reader const& reader, gsNearMissReport& report)
+void ReportInterruptedStreams(Collector const& collector,
+                              gsNearMissReport& report)
 {
-  std::map<std::pair<std::string, std::string>, gsClosedStreams> closed;
-  for (Reader::Request const& request : reader.Ended) {
-    bool whole = IsOneOf(request.Result, { "whole", "caller_left" });
-    if (whole || !request.Stream || !request.HadEvents) {
+  std::map<std::pair<std::string, std::string>, gsInterruptedStreams>
+    byCauseAndRoute;
+  for (Collector::Request const& request : collector.EndedRequests) {
+    bool isExcluded = IsOneOf(request.Result, { "whole", "caller_left" });
+    if (isExcluded || !request.Stream || !request.CallerReceivedEvents) {
       continue;
     }
-    std::string cause = CloseCause(request);
-    gsClosedStreams& streams = closed[{ cause, request.Route }];
+    std::string cause = InterruptionCause(request);
+    gsInterruptedStreams& streams = byCauseAndRoute[{ cause, request.Route }];
     streams.Cause = std::move(cause);
     streams.Route = request.Route;
-    ++streams.Count;
+    ++streams.StreamCount;
     if (request.EndedAt >= streams.LastAt) {
       streams.LastAt = request.EndedAt;
       streams.LastHost = request.Host;
       streams.LastRequest = request.Id;
     }
   }
-  for (auto& [key, streams] : closed) {
-    report.Closed.push_back(std::move(streams));
+  for (auto& [key, streams] : byCauseAndRoute) {
+    report.InterruptedStreams.push_back(std::move(streams));
   }
 }
 
-void SumStops(Reader const& reader, gsNearMissReport& report)
+void ReportPlannedStops(Collector const& collector, gsNearMissReport& report)
 {
-  for (auto const& [host, stops] : reader.Stops) {
-    report.Stops.insert(report.Stops.end(), stops.begin(), stops.end());
+  for (auto const& [host, stops] : collector.PlannedStops) {
+    report.PlannedStops.insert(report.PlannedStops.end(), stops.begin(),
+                               stops.end());
   }
-  std::stable_sort(report.Stops.begin(), report.Stops.end(),
+  std::stable_sort(report.PlannedStops.begin(), report.PlannedStops.end(),
                    [](gsPlannedStop const& a, gsPlannedStop const& b) {
-                     return a.At < b.At;
+                     return a.StartedAt < b.StartedAt;
                    });
 }
 
-/** A host's copy of a version: its last counts, and how long it was used. */
-struct HeldCopy
+/** Use of a version of a replica by a host. */
+struct ReplicaUse
 {
-  std::string Counts;
-  gsTime Held{};
+  std::string Counts; ///< Row counts when the version was last in use.
+  gsTime Duration{};  ///< How long it was in use with these counts.
 };
 
-using HeldByVersion = std::map<std::uint64_t, std::map<std::string, HeldCopy>>;
-
-HeldByVersion CopiesOf(Reader const& reader)
-{
-  HeldByVersion versions;
-  for (auto const& [host, copies] : reader.Copies) {
-    for (std::size_t i = 0; i < copies.size(); ++i) {
-      gsTime until =
-        i + 1 < copies.size() ? copies[i + 1].At : reader.LastLine.at(host);
-      // The same counts again are the same copy, still in use.
-      HeldCopy& held = versions[copies[i].Version][host];
-      bool same = held.Counts == copies[i].Counts;
-      held.Held = (same ? held.Held : gsTime{}) + (until - copies[i].At);
-      held.Counts = copies[i].Counts;
+/** By version and host. */
+using ReplicaUsesByVersion =
+  std::map<std::uint64_t, std::map<std::string, ReplicaUse>>;
+
+ReplicaUsesByVersion FindReplicaUses(Collector const& collector)
+{
+  ReplicaUsesByVersion versions;
+  for (auto const& [host, states] : collector.ReplicaStates) {
+    for (std::size_t i = 0; i < states.size(); ++i) {
+      gsTime until = i + 1 < states.size() ? states[i + 1].Since
+                                           : collector.LastRecordAt.at(host);
+      // The durations of consecutive records with the same row counts are
+      // added up.
+      ReplicaUse& use = versions[states[i].CompleteVersion][host];
+      bool isSame = use.Counts == states[i].RowCounts;
+      use.Duration =
+        (isSame ? use.Duration : gsTime{}) + (until - states[i].Since);
+      use.Counts = states[i].RowCounts;
     }
   }
   return versions;
 }
 
-/** The counts that most hosts have. */
-std::string MostCommon(gsDifferingVersion const& version)
+/** The row counts of most hosts. */
+std::string MostCommonRowCounts(gsDivergentVersion const& version)
 {
-  auto most = std::max_element(version.Hosts.begin(), version.Hosts.end(),
-                               [](auto const& a, auto const& b) {
-                                 return a.second.size() < b.second.size();
-                               });
-  return most->first;
+  auto mostCommon = std::max_element(
+    version.HostsByRowCounts.begin(), version.HostsByRowCounts.end(),
+    [](auto const& a, auto const& b) {
+      return a.second.size() < b.second.size();
+    });
+  return mostCommon->first;
 }
 
-void SumVersions(Reader const& reader, gsNearMissReport& report)
+void ReportDivergentVersions(Collector const& collector,
+                             gsNearMissReport& report)
 {
-  for (auto const& [number, hosts] : CopiesOf(reader)) {
+  for (auto const& [number, hosts] : FindReplicaUses(collector)) {
     if (number == 0) {
-      continue; // These copies do not call themselves complete.
+      continue; // These replicas may be incomplete.
     }
-    gsDifferingVersion version;
+    gsDivergentVersion version;
     version.Version = number;
-    for (auto const& [host, held] : hosts) {
-      version.Hosts[held.Counts].push_back(host);
+    for (auto const& [host, use] : hosts) {
+      version.HostsByRowCounts[use.Counts].push_back(host);
     }
-    if (version.Hosts.size() < 2) {
+    if (version.HostsByRowCounts.size() < 2) {
       continue;
     }
-    std::string common = MostCommon(version);
-    for (auto const& [host, held] : hosts) {
-      bool other = held.Counts != common;
-      version.Longest =
-        std::max(version.Longest, other ? held.Held : gsTime{});
+    std::string commonCounts = MostCommonRowCounts(version);
+    for (auto const& [host, use] : hosts) {
+      bool isDivergent = use.Counts != commonCounts;
+      version.LongestDivergence = std::max(
+        version.LongestDivergence, isDivergent ? use.Duration : gsTime{});
     }
-    report.Versions.push_back(std::move(version));
+    report.DivergentVersions.push_back(std::move(version));
   }
 }
 
 } // namespace
 
-std::uint64_t gsUnservedCount::Sum() const
+std::uint64_t gsUnservedCounts::Total() const
 {
-  return this->TurnedAway + this->NoUpstream + this->CallerLeft + this->Cut +
-         this->TimedOut;
+  return this->Rejected + this->NoUpstream + this->CallerLeft +
+         this->Incomplete + this->TimedOut;
 }
 
-double gsKindBehind::Share() const
+double gsStarvedRoute::UnservedShare() const
 {
-  return this->Requests == 0 ? 0
-                             : static_cast<double>(this->Unserved.Sum()) /
-                                 static_cast<double>(this->Requests);
+  return this->RequestCount == 0
+           ? 0
+           : static_cast<double>(this->Unserved.Total()) /
+               static_cast<double>(this->RequestCount);
 }
 
-void gsNearMissTake(gsNearMissReader& reader, gsLogRecord const& record)
+void gsCollectNearMissRecord(gsNearMissCollector& collector,
+                             gsLogRecord const& record)
 {
-  ++reader.Lines;
-  bool first = reader.Lines == 1 || record.At < reader.FirstAt;
-  reader.FirstAt = first ? record.At : reader.FirstAt;
-  gsTime& last = reader.LastLine[record.Host];
-  last = std::max(last, record.At);
+  ++collector.RecordCount;
+  bool isFirst =
+    collector.RecordCount == 1 || record.Timestamp < collector.FirstAt;
+  collector.FirstAt = isFirst ? record.Timestamp : collector.FirstAt;
+  gsTime& lastRecordAt = collector.LastRecordAt[record.Host];
+  lastRecordAt = std::max(lastRecordAt, record.Timestamp);
   if (record.Event == "place") {
-    TakePlace(reader, record);
+    CollectPlacement(collector, record);
   } else if (record.Event == "attempt") {
-    TakeAttempt(reader, record);
+    CollectAttempt(collector, record);
   } else if (record.Event == "end") {
-    TakeEnd(reader, record);
+    CollectEnd(collector, record);
   } else if (record.Event == "upstreams") {
-    TakeUpstreams(reader, record);
+    CollectReplicaState(collector, record);
   } else if (record.Event == "upstream_leaving" ||
              record.Event == "upstream_gone") {
-    TakeChange(reader, record, true);
+    CollectRowChange(collector, record, true);
   } else if (record.Event == "upstream_listed") {
-    TakeChange(reader, record, false);
+    CollectRowChange(collector, record, false);
   } else if (record.Event == "stopping") {
-    TakeStopping(reader, record);
+    CollectStopStart(collector, record);
   } else if (record.Event == "stopped") {
-    TakeStopped(reader, record);
+    CollectStopEnd(collector, record);
   } else if (record.Event == "started") {
-    reader.Stopping[record.Host] = false;
-    EndWords(reader, record, {});
+    collector.HostsStopping[record.Host] = false;
+    EndAnnouncements(collector, record, {});
   } else if (record.Event == "upstream_restarted") {
-    EndWords(reader, record, gsFieldOf(record, "upstream"));
+    EndAnnouncements(collector, record, gsLogFieldValue(record, "upstream"));
   } else if (record.Event == "upstream_says") {
-    TakeWord(reader, record);
+    CollectAnnouncement(collector, record);
   } else if (record.Event == "table_differs") {
-    TakeDiffers(reader, record);
+    CollectDivergence(collector, record);
   }
-  NotePartial(reader, record);
+  UpdateIncompleteHosts(collector, record);
 }
 
-gsNearMissReport gsNearMissSum(gsNearMissReader const& reader,
-                               gsTime leavingBound)
+gsNearMissReport gsBuildNearMissReport(gsNearMissCollector const& collector,
+                                       gsTime leavingBound)
 {
   gsNearMissReport report;
-  report.FirstAt = reader.FirstAt;
+  report.FirstAt = collector.FirstAt;
   report.LeavingBound = leavingBound;
-  SumLeaving(reader, report);
-  report.Ignored = gsIgnoredWords(reader);
-  SumBehind(reader, report);
-  SumClosed(reader, report);
-  SumStops(reader, report);
-  report.Differing = reader.Differing;
-  SumVersions(reader, report);
+  ReportLeavingUpstreams(collector, report);
+  report.IgnoredAnnouncements = gsFindIgnoredAnnouncements(collector);
+  ReportStarvedRoutes(collector, report);
+  ReportInterruptedStreams(collector, report);
+  ReportPlannedStops(collector, report);
+  report.DivergentTables = collector.DivergentTables;
+  ReportDivergentVersions(collector, report);
   return report;
 }
