--- a/Source/Core/gsPlacement.cxx
+++ b/Source/Core/gsPlacement.cxx
@@ -15,129 +15,140 @@
 
 namespace {
 
-/** Ties are broken within so many tokens, so that hosts do not herd. */
+/** Range of the random addition to each cost, in tokens. It keeps hosts from
+ * all choosing the same of several upstreams of about equal cost. */
 constexpr double TieTokens = 30;
-/** Share of an upstream's connections that all hosts use together, */
-constexpr double ConnectionUse = 0.9;
-/** and what one host may use in any case. */
-constexpr std::uint32_t LeastConnections = 2;
-/** A request looks at so many upstreams at least: of two, chosen at random,
- * the emptier is a good choice already, and one of them may be unreachable. */
-constexpr std::size_t LeastLooks = 4;
+/** Share of an upstream's maximum number of connections that all hosts
+ * combined may use. */
+constexpr double MaxConnectionUse = 0.9;
+/** Number of connections that each host may use regardless of its share. */
+constexpr std::uint32_t MinConnections = 2;
+/** Minimum number of upstreams that a request samples. The less loaded of two
+ * random ones is already a good choice, and some may be unreachable. */
+constexpr std::size_t MinSampleSize = 4;
 
 /**
- * While so many slots are free for each host, the emptiest upstream is one of
- * many: requests go by their subjects' own order there, and every upstream is
- * looked at. With few looks always, 0.05 of a calm day's worth was lost.
+ * Number of free slots per host from which on every upstream is evaluated
+ * instead of a sample. Many upstreams are then equally idle, and requests
+ * choose among them by the order of their subjects, which differs by subject.
+ * Always sampling lost 0.05 of the value of a day without overload.
  */
-constexpr std::size_t FreeSlotsOfEach = 2;
-/** Share of a less urgent kind's requests that take a place which is kept for
- * more urgent ones, so that none is shut out for as long as these press: one
- * in twenty, as in the pools of the own interface. */
-constexpr double LeastShare = 0.05;
-
-/** Whether it could be sent the request but for its rest, or for its turn to
- * be come back to. */
-bool IsOnlyResting(gsFleet const& fleet, gsFleetRow const& row,
-                   gsPlacementAsk const& ask, gsTime now)
+constexpr std::size_t MinFreeSlotsPerHost = 2;
+/** Share of less urgent requests that may take the places reserved for more
+ * urgent ones, so that sustained demand of these does not starve the others.
+ * Equal to gsPoolSettings::ReservedSlotShare. */
+constexpr double ReservedPlaceShare = 0.05;
+
+/** Whether the upstream could be sent the request if it were not backing off
+ * or waiting for this host's time to resume. */
+bool IsOnlyBackingOff(gsFleet const& fleet, gsFleetRow const& row,
+                      gsPlacementRequest const& request, gsTime now)
 {
-  bool rests = gsIsResting(row.Heard, now);
-  gsTime over = rests ? row.Heard.RestUntil : now;
-  return (rests || WaitsToReturn(fleet, row, ask, now)) &&
-         gsTakesWork(fleet, row, over) && IsAllowed(fleet, row, ask);
+  bool isBackingOff = gsIsBackingOff(row.Announced, now);
+  gsTime resumesAt = isBackingOff ? row.Announced.BackoffUntil : now;
+  return (isBackingOff || MustDelayResumption(fleet, row, request, now)) &&
+         gsAcceptsRequests(fleet, row, resumesAt) &&
+         IsInAllowedRegion(fleet, row, request);
 }
 
-/** Notes when the first of those that rest wants work again. */
-void NoteRest(gsPlacement& best, gsFleetRow const& row, gsTime now)
+/** Updates RetryAfter by an upstream that is backing off. */
+void UpdateRetryAfter(gsPlacement& best, gsFleetRow const& row, gsTime now)
 {
-  gsTime left = row.Heard.RestUntil - now;
-  bool first = best.RestLeft.count() == 0 || left < best.RestLeft;
-  if (left.count() > 0 && first) {
-    best.RestLeft = left;
+  gsTime remaining = row.Announced.BackoffUntil - now;
+  bool isEarliest =
+    best.RetryAfter.count() == 0 || remaining < best.RetryAfter;
+  if (remaining.count() > 0 && isEarliest) {
+    best.RetryAfter = remaining;
   }
 }
 
-/** Why none can be chosen, with one more that cannot. */
-gsPlacementCause CauseAgainst(gsFleet const& fleet, gsFleetRow const& row,
-                              gsPlacementAsk const& ask, gsTime now,
-                              gsPlacementCause before)
+/** The cause to report if no upstream can be chosen, given the cause so far
+ * and one more upstream that cannot. */
+gsPlacementCause CombineCause(gsFleet const& fleet, gsFleetRow const& row,
+                              gsPlacementRequest const& request, gsTime now,
+                              gsPlacementCause causeSoFar)
 {
-  if (WasTried(ask, row) || before == gsPlacementCause::Full ||
-      before == gsPlacementCause::RateLimited) {
-    return before;
+  if (WasTried(request, row) || causeSoFar == gsPlacementCause::Full ||
+      causeSoFar == gsPlacementCause::RateLimited) {
+    return causeSoFar;
   }
-  if (IsOnlyResting(fleet, row, ask, now)) {
-    return gsPlacementCause::Resting;
+  if (IsOnlyBackingOff(fleet, row, request, now)) {
+    return gsPlacementCause::BackingOff;
   }
-  if (!gsTakesWork(fleet, row, now)) {
-    return before;
+  if (!gsAcceptsRequests(fleet, row, now)) {
+    return causeSoFar;
   }
-  if (MayGet(fleet, row, ask, now)) {
+  if (IsEligible(fleet, row, request, now)) {
     return gsPlacementCause::Full;
   }
-  if (!IsAllowed(fleet, row, ask)) {
-    return before == gsPlacementCause::NoUpstream
+  if (!IsInAllowedRegion(fleet, row, request)) {
+    return causeSoFar == gsPlacementCause::NoUpstream
              ? gsPlacementCause::OutsideRegions
-             : before;
+             : causeSoFar;
   }
-  if (IsTooCold(fleet, row, ask, now)) {
+  if (ExceedsColdQuota(fleet, row, request, now)) {
     return gsPlacementCause::Cold;
   }
   bool unreachable =
-    row.AvoidUntil > now || !gsHallMayTry(fleet.Halls, row.Listed.Hall, now);
+    row.AvoidUntil > now ||
+    !gsHallMaySend(fleet.HallReachability, row.Listed.Hall, now);
   return unreachable ? gsPlacementCause::Unreachable
                      : gsPlacementCause::NoConnection;
 }
 
-/** A choice under way. */
+/** State of the search for an upstream. */
 struct Search
 {
   gsFleet& Fleet;
-  gsPlacementAsk const& Ask;
-  Choice const& Common;
+  gsPlacementRequest const& Request;
+  PlacementContext const& Context;
   gsTime Now;
   gsRandom& Random;
-  gsPlacement Best;       ///< Of those considered so far.
-  double Share;           ///< Best's time to the first token, of the target.
-  std::size_t Looks;      ///< Upstreams that the request looks at.
+  gsPlacement Best; ///< Of the upstreams evaluated so far.
+  /** Expected time to the first token at Best, as a share of the target. */
+  double TargetShare;
+  std::size_t SampleSize; ///< Number of upstreams to sample.
   double RateLimitedCost; ///< Of Best.RateLimitedRow, without the wait.
   double RateLimitedCostWithWait; ///< Including the wait for a token.
-  gsCandidates Among;
+  gsCandidates Candidates;
 };
 
-/** Upstreams of the service for each one that is weighed. */
-double MembersForEachWeighed(Search const& search)
+/** Number of upstreams of the service per candidate, by which counts over the
+ * candidates are extrapolated to the service. */
+double SamplingRatio(Search const& search)
 {
-  return static_cast<double>(search.Among.Members) /
-         static_cast<double>(search.Among.Rows.size());
+  return static_cast<double>(search.Candidates.ServiceSize) /
+         static_cast<double>(search.Candidates.Rows.size());
 }
 
 /**
- * Of engines with a whole batch waiting behind their slots nobody knows which
- * turns the next request away, and a subject gains nothing by waiting at its
- * own: hosts choose among these at random, not all alike. The range is twice
- * that of the subject's own order, which it has to outweigh.
+ * Random cost of an engine with as many requests queued as it has slots. Which
+ * of these engines rejects the next request cannot be predicted, and a subject
+ * gains nothing by waiting at its home, so the hosts spread their requests
+ * over them at random. The range is twice that of the cost by the order of the
+ * subject, which it has to outweigh.
  */
 double CrowdedCost(Search& search, gsFleetRow const& row)
 {
-  std::uint32_t crowded = gsMostOpen(row.Listed.Slots, 1);
-  bool isCrowded = gsWorkAt(search.Fleet, row, search.Now).Running >= crowded;
-  if (!isCrowded || search.Ask.Hosts <= 1) {
+  std::uint32_t minCrowded = gsMaxOpenRequests(row.Listed.Slots, 1);
+  bool isCrowded =
+    gsTotalLoad(search.Fleet, row, search.Now).OpenAttempts >= minCrowded;
+  if (!isCrowded || search.Request.Hosts <= 1) {
     return 0;
   }
   std::uniform_real_distribution<double> draw(
-    0, 2 * search.Fleet.Settings.SpreadTokens);
+    0, 2 * search.Fleet.Settings.MaxSpreadCost);
   return draw(search.Random);
 }
 
-/** Records an upstream that only lacks a token. Keeps the one with the lowest
- * cost including the expected wait for a token. */
-void NoteRateLimited(Search& search, gsFleetRow const& row, double cost)
+/** Records an eligible upstream without a token of its rate limit. Keeps the
+ * one with the lowest cost including the expected wait for a token. */
+void RecordRateLimited(Search& search, gsFleetRow const& row, double cost)
 {
   gsPlacement& best = search.Best;
   gsTime wait =
     gsExpectedTokenWait(search.Fleet.RateLimits, row.Hash, 0, search.Now);
-  double millis = search.Ask.TokenMillis;
+  double millis = search.Request.MillisPerToken;
   double waitCost = millis > 0 ? gsToSeconds(wait) * 1e3 / millis : 0;
   if (best.RateLimitedRow == nullptr ||
       cost + waitCost < search.RateLimitedCostWithWait) {
@@ -147,119 +158,129 @@
   }
   if (best.Row == nullptr && best.Cause != gsPlacementCause::Full) {
     best.Cause = gsPlacementCause::RateLimited;
-    best.RestLeft =
-      best.RestLeft.count() == 0 ? wait : std::min(best.RestLeft, wait);
+    best.RetryAfter =
+      best.RetryAfter.count() == 0 ? wait : std::min(best.RetryAfter, wait);
   }
 }
 
-/** Takes those of the rows in that may be sent the request, and of which one
- * is cheaper than the best so far. */
-void Consider(Search& search, std::vector<std::size_t> const& rows)
+/** Evaluates the given rows. Updates the best upstream by those that may be
+ * sent the request, and the cause by the others. */
+void Evaluate(Search& search, std::vector<std::size_t> const& rows)
 {
   gsPlacement& best = search.Best;
-  std::uniform_real_distribution<double> tie(0, TieTokens);
+  std::uniform_real_distribution<double> tieBreak(0, TieTokens);
   for (std::size_t index : rows) {
     gsFleetRow& row = search.Fleet.Rows[index];
-    bool may = MayGet(search.Fleet, row, search.Ask, search.Now) &&
-               HasPlace(search.Fleet, row, search.Ask, search.Now);
-    if (!may) {
+    bool isEligible =
+      IsEligible(search.Fleet, row, search.Request, search.Now) &&
+      HasQueuePlace(search.Fleet, row, search.Request, search.Now);
+    if (!isEligible) {
       if (best.Row == nullptr) {
-        best.Cause =
-          CauseAgainst(search.Fleet, row, search.Ask, search.Now, best.Cause);
-        if (IsOnlyResting(search.Fleet, row, search.Ask, search.Now)) {
-          NoteRest(best, row, search.Now);
+        best.Cause = CombineCause(search.Fleet, row, search.Request,
+                                  search.Now, best.Cause);
+        if (IsOnlyBackingOff(search.Fleet, row, search.Request, search.Now)) {
+          UpdateRetryAfter(best, row, search.Now);
         }
       }
       continue;
     }
     std::uint32_t toRead =
-      gsTokensToRead(search.Fleet, row, search.Ask, search.Now);
-    double cost = TotalCost(search.Fleet, row, search.Ask, search.Common,
+      gsTokensToRead(search.Fleet, row, search.Request, search.Now);
+    double cost = TotalCost(search.Fleet, row, search.Request, search.Context,
                             toRead, search.Now) +
-                  CrowdedCost(search, row) + tie(search.Random);
+                  CrowdedCost(search, row) + tieBreak(search.Random);
     if (!HasToken(search.Fleet, row, search.Now)) {
-      NoteRateLimited(search, row, cost);
+      RecordRateLimited(search, row, cost);
       continue;
     }
-    ++best.Candidates;
+    ++best.CandidateCount;
     if (best.Row != nullptr && cost >= best.Cost) {
       continue;
     }
-    bool cached = toRead < search.Ask.PromptTokens;
-    bool preferred = &row == search.Common.Preferred;
+    bool cached = toRead < search.Request.PromptTokens;
+    bool preferred = &row == search.Context.Home;
     best.Row = &row;
     best.Cost = cost;
-    best.ReadTokens = toRead;
+    best.TokensToRead = toRead;
     best.Cause = cached      ? gsPlacementCause::Cached
                  : preferred ? gsPlacementCause::Preferred
                              : gsPlacementCause::LeastLoaded;
-    search.Share =
-      ExpectedShare(search.Fleet, row, search.Ask, search.Common,
-                    ExpectedRead(search.Fleet, row, search.Ask, search.Common,
-                                 toRead, search.Now),
-                    search.Now);
+    search.TargetShare = ExpectedTargetShare(
+      search.Fleet, row, search.Request, search.Context,
+      ExpectedTokensToRead(search.Fleet, row, search.Request, search.Context,
+                           toRead, search.Now),
+      search.Now);
   }
 }
 
-/** Slots that are free at the upstreams for this kind of request, by those
- * that are weighed. */
-double FreeSlots(Search const& search, std::vector<std::size_t> const& rows)
+/** Estimated number of free slots at all upstreams of the request's group that
+ * may be sent it, extrapolated from the given rows. */
+double EstimateFreeSlots(Search const& search,
+                         std::vector<std::size_t> const& rows)
 {
   std::size_t slots = 0;
   for (std::size_t index : rows) {
     gsFleetRow const& row = search.Fleet.Rows[index];
-    bool counts = InGroup(row, search.Common) &&
-                  MayGet(search.Fleet, row, search.Ask, search.Now) &&
+    bool counts = IsInGroup(row, search.Context) &&
+                  IsEligible(search.Fleet, row, search.Request, search.Now) &&
                   HasToken(search.Fleet, row, search.Now);
-    std::uint32_t running = gsWorkAt(search.Fleet, row, search.Now).Running;
+    std::uint32_t running =
+      gsTotalLoad(search.Fleet, row, search.Now).OpenAttempts;
     slots +=
       counts ? row.Listed.Slots - std::min(row.Listed.Slots, running) : 0;
   }
-  return static_cast<double>(slots) * MembersForEachWeighed(search);
+  return static_cast<double>(slots) * SamplingRatio(search);
 }
 
-std::size_t LooksOf(Search const& search, std::vector<std::size_t> const& rows)
+/** Number of upstreams to sample. If free slots are not scarce it equals the
+ * number of rows, so that all are evaluated. */
+std::size_t SampleSizeFor(Search const& search,
+                          std::vector<std::size_t> const& rows)
 {
-  std::size_t hosts = search.Ask.Hosts;
+  std::size_t hosts = search.Request.Hosts;
   std::uint32_t slots = search.Fleet.Rows[rows.front()].Listed.Slots;
-  std::size_t looks = gsLooks(search.Among.Members, slots, hosts);
-  // What reads no prompt is done at once: the nearest idle one serves it best.
-  if (search.Ask.PromptTokens == 0 || looks >= rows.size()) {
+  std::size_t sampleSize =
+    gsSampleSize(search.Candidates.ServiceSize, slots, hosts);
+  // A request without a prompt ends at once, so it is best served by the
+  // nearest idle upstream of all.
+  if (search.Request.PromptTokens == 0 || sampleSize >= rows.size()) {
     return rows.size();
   }
-  bool scarce =
-    FreeSlots(search, rows) < static_cast<double>(FreeSlotsOfEach * hosts);
-  return scarce ? looks : rows.size();
+  bool scarce = EstimateFreeSlots(search, rows) <
+                static_cast<double>(MinFreeSlotsPerHost * hosts);
+  return scarce ? sampleSize : rows.size();
 }
 
 /**
- * The first upstreams in the order of the request's subject, and those where
- * this host has had the subject read: half of the looks, so that requests of
- * one subject stay together.
+ * The part of the sample that depends on the request's subject, which keeps
+ * requests of one subject together: the upstreams that have cached the shared
+ * parts, and the first ones in the rendezvous order of the subject. The latter
+ * make up half of the sample. All rows if no sample is taken; empty without a
+ * subject.
  */
-std::vector<std::size_t> FirstLooks(Search const& search,
-                                    std::vector<std::size_t> const& rows)
+std::vector<std::size_t> SubjectSample(Search const& search,
+                                       std::vector<std::size_t> const& rows)
 {
-  std::size_t looks = search.Looks;
-  if (looks >= rows.size()) {
+  std::size_t sampleSize = search.SampleSize;
+  if (sampleSize >= rows.size()) {
     return rows;
   }
-  std::uint64_t subject = gsSubjectOf(search.Ask);
+  std::uint64_t subject = gsSubjectOf(search.Request);
   if (subject == 0) {
     return {};
   }
   std::vector<std::pair<std::uint64_t, std::size_t>> order;
   std::vector<std::size_t> chosen;
-  for (std::size_t index : search.Among.Homes) {
+  for (std::size_t index : search.Candidates.HomeRows) {
     gsFleetRow const& row = search.Fleet.Rows[index];
-    if (HoldsShared(search.Fleet, row, search.Ask, search.Now)) {
+    if (HoldsSharedParts(search.Fleet, row, search.Request, search.Now)) {
       chosen.push_back(index);
-    } else if (InGroup(row, search.Common) &&
-               MayGet(search.Fleet, row, search.Ask, search.Now)) {
+    } else if (IsInGroup(row, search.Context) &&
+               IsEligible(search.Fleet, row, search.Request, search.Now)) {
       order.emplace_back(gsRendezvousWeight(row.Listed.Id, subject), index);
     }
   }
-  std::size_t first = std::min((looks + 1) / 2, order.size());
+  std::size_t first = std::min((sampleSize + 1) / 2, order.size());
   std::partial_sort(order.begin(),
                     order.begin() + static_cast<std::ptrdiff_t>(first),
                     order.end(), std::greater<>());
@@ -269,140 +290,157 @@
   return chosen;
 }
 
-/** As many at random, for a request that may miss its target. */
-std::vector<std::size_t> FurtherLooks(Search const& search,
+/** The random part of the sample: the other half of it, or all of it without a
+ * subject. Empty if no sample is taken. */
+std::vector<std::size_t> RandomSample(Search const& search,
                                       std::vector<std::size_t> const& rows)
 {
-  std::size_t looks = search.Looks;
-  if (looks >= rows.size()) {
+  std::size_t sampleSize = search.SampleSize;
+  if (sampleSize >= rows.size()) {
     return {};
   }
-  bool none = gsSubjectOf(search.Ask) == 0;
+  bool hasNoSubject = gsSubjectOf(search.Request) == 0;
   std::vector<std::size_t> chosen;
   std::sample(rows.begin(), rows.end(), std::back_inserter(chosen),
-              none ? looks : (looks + 1) / 2, search.Random);
+              hasNoSubject ? sampleSize : (sampleSize + 1) / 2, search.Random);
   return chosen;
 }
 
+/** Number of open requests at an upstream, of all hosts. */
 std::uint32_t RunningAt(Search const& search, gsFleetRow const& row)
 {
-  return gsWorkAt(search.Fleet, row, search.Now).Running;
+  return gsTotalLoad(search.Fleet, row, search.Now).OpenAttempts;
 }
 
-/** Requests at the fullest of the engines that may get one. */
-std::uint32_t Fullest(Search const& search,
-                      std::vector<std::size_t> const& rows)
+/** Maximum number of open requests at any engine that may be sent the request.
+ */
+std::uint32_t MaxRunning(Search const& search,
+                         std::vector<std::size_t> const& rows)
 {
-  std::uint32_t most = 0;
+  std::uint32_t maximum = 0;
   for (std::size_t index : rows) {
     gsFleetRow const& row = search.Fleet.Rows[index];
-    if (MayGet(search.Fleet, row, search.Ask, search.Now) &&
+    if (IsEligible(search.Fleet, row, search.Request, search.Now) &&
         HasToken(search.Fleet, row, search.Now)) {
-      most = std::max(most, RunningAt(search, row));
+      maximum = std::max(maximum, RunningAt(search, row));
     }
   }
-  return most;
+  return maximum;
 }
 
 /**
- * Places that an engine has left: before a whole batch waits there, or, for
- * the most urgent kind, before it is as full as the fullest, which may turn
- * the next request away.
+ * Number of further requests of this kind that an engine may be sent. The less
+ * urgent kinds fill it up to the limit that gsMaxOpenRequests returns. The
+ * most urgent kind fills it until as many requests are queued as it has slots,
+ * or until it has as many open requests as the most loaded engine, which may
+ * reject the next one, whichever is more.
  */
-std::uint32_t PlacesAt(Search const& search, gsFleetRow const& row,
-                       std::uint32_t fullest)
+std::uint32_t FreePlacesAt(Search const& search, gsFleetRow const& row,
+                           std::uint32_t maxRunning)
 {
-  std::uint32_t kinds = search.Ask.MoreUrgentKinds;
-  std::uint32_t most = gsMostOpen(row.Listed.Slots, std::max(1U, kinds));
+  std::uint32_t kinds = search.Request.MoreUrgentKinds;
+  std::uint32_t limit =
+    gsMaxOpenRequests(row.Listed.Slots, std::max(1U, kinds));
   if (kinds == 0) {
-    most = std::max(most, fullest);
+    limit = std::max(limit, maxRunning);
   }
-  bool may = MayGet(search.Fleet, row, search.Ask, search.Now) &&
-             HasToken(search.Fleet, row, search.Now);
-  return may ? most - std::min(most, RunningAt(search, row)) : 0;
+  bool isEligible =
+    IsEligible(search.Fleet, row, search.Request, search.Now) &&
+    HasToken(search.Fleet, row, search.Now);
+  return isEligible ? limit - std::min(limit, RunningAt(search, row)) : 0;
 }
 
 /**
- * One engine by its places, or none: all hosts together send as many requests
- * as there are places, whichever of them see them.
+ * Draws an engine with a probability proportional to its free places. Draws
+ * none with a probability such that, if each host places one request, all
+ * hosts combined send about as many requests as there are places.
  */
-std::vector<std::size_t> OneByPlaces(Search const& search,
-                                     std::vector<std::size_t> const& rows)
+std::vector<std::size_t> DrawByFreePlaces(Search const& search,
+                                          std::vector<std::size_t> const& rows)
 {
-  std::uint32_t fullest = Fullest(search, rows);
+  std::uint32_t maxRunning = MaxRunning(search, rows);
   std::vector<double> places;
   places.reserve(rows.size());
-  double all = 0;
+  double total = 0;
   for (std::size_t index : rows) {
-    places.push_back(PlacesAt(search, search.Fleet.Rows[index], fullest));
-    all += places.back();
+    places.push_back(
+      FreePlacesAt(search, search.Fleet.Rows[index], maxRunning));
+    total += places.back();
   }
   std::uniform_real_distribution<double> draw(0, 1);
-  double wanted = draw(search.Random) * static_cast<double>(search.Ask.Hosts);
-  if (all <= 0 || all * MembersForEachWeighed(search) < wanted) {
+  double threshold =
+    draw(search.Random) * static_cast<double>(search.Request.Hosts);
+  if (total <= 0 || total * SamplingRatio(search) < threshold) {
     return {};
   }
-  std::discrete_distribution<std::size_t> one(places.begin(), places.end());
-  return { rows[one(search.Random)] };
+  std::discrete_distribution<std::size_t> byPlaces(places.begin(),
+                                                   places.end());
+  return { rows[byPlaces(search.Random)] };
 }
 
+/** Whether an upstream has as many requests queued as it has slots, or there
+ * is no upstream. */
 bool IsCrowded(Search const& search, gsFleetRow const* row)
 {
   return row == nullptr ||
-         RunningAt(search, *row) >= gsMostOpen(row->Listed.Slots, 1);
+         RunningAt(search, *row) >= gsMaxOpenRequests(row->Listed.Slots, 1);
 }
 
-/** Whether the best so far leaves something to be desired. */
-bool WantsMore(Search const& search)
+/** Whether the random part of the sample is needed: there is no upstream yet,
+ * or the best one may miss the target or has no free slot. */
+bool NeedsRandomSample(Search const& search)
 {
   gsFleetRow const* best = search.Best.Row;
-  if (best == nullptr || search.Share >= MissFrom) {
+  if (best == nullptr || search.TargetShare >= MinMissShare) {
     return true;
   }
   return RunningAt(search, *best) >= best->Listed.Slots;
 }
 
-/** Looks at what the request is to look at, until one will do. */
-void LookAround(Search& search)
+/** Evaluates the sample in stages until an upstream is good enough. If even
+ * the best one is crowded, the choice is made by free places instead. */
+void EvaluateSample(Search& search)
 {
-  std::vector<std::size_t> const& rows = search.Among.Rows;
-  Consider(search, FirstLooks(search, rows));
-  if (search.Looks >= rows.size()) {
+  std::vector<std::size_t> const& rows = search.Candidates.Rows;
+  Evaluate(search, SubjectSample(search, rows));
+  if (search.SampleSize >= rows.size()) {
     return;
   }
-  if (WantsMore(search)) {
-    Consider(search, FurtherLooks(search, rows));
+  if (NeedsRandomSample(search)) {
+    Evaluate(search, RandomSample(search, rows));
   }
   if (!IsCrowded(search, search.Best.Row)) {
     return;
   }
-  std::vector<std::size_t> one = OneByPlaces(search, rows);
-  if (!one.empty()) {
+  std::vector<std::size_t> drawn = DrawByFreePlaces(search, rows);
+  if (!drawn.empty()) {
     search.Best.Row = nullptr;
-    Consider(search, one);
-  } else if (search.Best.Row == nullptr && search.Ask.MoreUrgentKinds == 0) {
-    Consider(search, rows);
+    Evaluate(search, drawn);
+  } else if (search.Best.Row == nullptr &&
+             search.Request.MoreUrgentKinds == 0) {
+    Evaluate(search, rows);
   }
 }
 
 } // namespace
 
-std::size_t gsLooks(std::size_t upstreams, std::uint32_t slots,
-                    std::size_t hosts)
+std::size_t gsSampleSize(std::size_t upstreams, std::uint32_t slots,
+                         std::size_t hosts)
 {
-  constexpr double slotsShare = 0.5;
+  constexpr double maxSlotShare = 0.5;
   double arrivals = static_cast<double>(std::max<std::size_t>(hosts, 1));
-  double looks =
-    std::ceil(static_cast<double>(upstreams) * slotsShare * slots / arrivals);
-  return std::max(LeastLooks, static_cast<std::size_t>(looks));
+  double sampleSize = std::ceil(static_cast<double>(upstreams) * maxSlotShare *
+                                slots / arrivals);
+  return std::max(MinSampleSize, static_cast<std::size_t>(sampleSize));
 }
 
-std::uint32_t gsMostOpen(std::uint32_t slots, std::uint32_t moreUrgentKinds)
+std::uint32_t gsMaxOpenRequests(std::uint32_t slots,
+                                std::uint32_t moreUrgentKinds)
 {
   return moreUrgentKinds == 0 ? 0 : slots + slots / moreUrgentKinds;
 }
 
-char const* gsPlacementWord(gsPlacementCause cause)
+char const* gsPlacementCauseName(gsPlacementCause cause)
 {
   switch (cause) {
     case gsPlacementCause::Cached:
@@ -421,7 +459,7 @@
       return "full";
     case gsPlacementCause::Cold:
       return "cold";
-    case gsPlacementCause::Resting:
+    case gsPlacementCause::BackingOff:
       return "resting";
     case gsPlacementCause::OutsideRegions:
       return "outside_regions";
@@ -436,68 +474,71 @@
   if (accepted == 0) {
     return 0;
   }
-  double share = ConnectionUse * accepted /
+  double share = MaxConnectionUse * accepted /
                  static_cast<double>(std::max<std::size_t>(hosts, 1));
-  return std::max(LeastConnections, static_cast<std::uint32_t>(share));
+  return std::max(MinConnections, static_cast<std::uint32_t>(share));
 }
 
-std::uint64_t gsSubjectOf(gsPlacementAsk const& ask)
+std::uint64_t gsSubjectOf(gsPlacementRequest const& request)
 {
-  if (ask.Parts == nullptr || ask.Parts->size() < 2) {
+  if (request.Parts == nullptr || request.Parts->size() < 2) {
     return 0;
   }
-  return (*ask.Parts)[ask.Parts->size() - 2].Name;
+  return (*request.Parts)[request.Parts->size() - 2].Id;
 }
 
-std::uint32_t gsSharedTokens(gsPlacementAsk const& ask)
+std::uint32_t gsSharedTokens(gsPlacementRequest const& request)
 {
-  if (ask.Parts == nullptr) {
+  if (request.Parts == nullptr) {
     return 0;
   }
   std::uint32_t tokens = 0;
-  for (std::size_t i = 0; i + 1 < ask.Parts->size(); ++i) {
-    tokens += (*ask.Parts)[i].Tokens;
+  for (std::size_t i = 0; i + 1 < request.Parts->size(); ++i) {
+    tokens += (*request.Parts)[i].Tokens;
   }
   return tokens;
 }
 
 std::uint32_t gsTokensToRead(gsFleet const& fleet, gsFleetRow const& row,
-                             gsPlacementAsk const& ask, gsTime now)
+                             gsPlacementRequest const& request, gsTime now)
 {
-  if (ask.Parts == nullptr) {
-    return ask.PromptTokens;
+  if (request.Parts == nullptr) {
+    return request.PromptTokens;
   }
   std::uint32_t cached = 0;
-  // A part is only kept together with all before it.
-  for (gsPromptPart const& part : *ask.Parts) {
-    auto known = row.Parts.find(part.Name);
-    if (known == row.Parts.end() ||
-        now - known->second > fleet.Settings.PartMemory) {
+  // An engine caches a part only together with all parts before it.
+  for (gsPromptPart const& part : *request.Parts) {
+    auto cachedPart = row.CachedParts.find(part.Id);
+    if (cachedPart == row.CachedParts.end() ||
+        now - cachedPart->second > fleet.Settings.PartRetention) {
       break;
     }
     cached += part.Tokens;
   }
-  return ask.PromptTokens - std::min(cached, ask.PromptTokens);
+  return request.PromptTokens - std::min(cached, request.PromptTokens);
 }
 
 namespace {
 
-/** A request as it is placed: a few of a less urgent kind take any place. */
-gsPlacementAsk WithLuck(gsPlacementAsk const& asked, gsRandom& random)
+/** Returns the request as it is placed. A random ReservedPlaceShare of the
+ * less urgent ones may take places that are reserved for more urgent ones. */
+gsPlacementRequest DrawUrgency(gsPlacementRequest const& originalRequest,
+                               gsRandom& random)
 {
-  gsPlacementAsk ask = asked;
+  gsPlacementRequest request = originalRequest;
   std::uniform_real_distribution<double> draw(0, 1);
-  if (ask.MoreUrgentKinds > 0 && draw(random) < LeastShare) {
-    ask.MoreUrgentKinds = 0;
+  if (request.MoreUrgentKinds > 0 && draw(random) < ReservedPlaceShare) {
+    request.MoreUrgentKinds = 0;
   }
-  return ask;
+  return request;
 }
 
-/** Notes the choice, and where it may take the shared parts from. */
-void Settle(Search& search)
+/** Completes the result: records the attempt at the upstream's hall and finds
+ * the upstream from which the shared parts can be transferred. */
+void CompletePlacement(Search& search)
 {
   gsPlacement& best = search.Best;
-  gsPlacementAsk const& ask = search.Ask;
+  gsPlacementRequest const& request = search.Request;
   gsFleet& fleet = search.Fleet;
   if (best.Row == nullptr) {
     return;
@@ -505,30 +546,32 @@
   if (best.RateLimitedRow != nullptr && search.RateLimitedCost >= best.Cost) {
     best.RateLimitedRow = nullptr;
   }
-  gsHallNoteTry(fleet.Halls, fleet.Settings.HallReach, best.Row->Listed.Hall,
-                search.Now);
-  best.Holder =
-    HolderFor(fleet, search.Among, ask, search.Common, *best.Row, search.Now);
-  if (best.Holder != nullptr) {
-    best.ReadTokens = std::min(
-      best.ReadTokens,
-      ask.PromptTokens - std::min(ask.PromptTokens, gsSharedTokens(ask)));
+  gsHallRecordAttempt(fleet.HallReachability, fleet.Settings.HallReach,
+                      best.Row->Listed.Hall, search.Now);
+  best.TransferSource = FindTransferSource(
+    fleet, search.Candidates, request, search.Context, *best.Row, search.Now);
+  if (best.TransferSource != nullptr) {
+    best.TokensToRead =
+      std::min(best.TokensToRead,
+               request.PromptTokens -
+                 std::min(request.PromptTokens, gsSharedTokens(request)));
   }
 }
 
 } // namespace
 
-gsPlacement gsPlace(gsFleet& fleet, gsPlacementAsk const& asked, gsTime now,
-                    gsRandom& random)
+gsPlacement gsPlaceRequest(gsFleet& fleet,
+                           gsPlacementRequest const& originalRequest,
+                           gsTime now, gsRandom& random)
 {
   gsRefreshHalls(fleet, now);
-  gsPlacementAsk ask = WithLuck(asked, random);
-  Choice choice = MakeChoice(fleet, ask);
-  gsCandidateAsk wanted{ ask.Service, gsSubjectOf(ask), choice.Group,
-                         choice.Border };
+  gsPlacementRequest request = DrawUrgency(originalRequest, random);
+  PlacementContext context = MakeContext(fleet, request);
+  gsCandidateQuery query{ request.Service, gsSubjectOf(request), context.Group,
+                          context.GroupBoundary };
   Search search{ fleet,
-                 ask,
-                 choice,
+                 request,
+                 context,
                  now,
                  random,
                  {},
@@ -536,17 +579,18 @@
                  0,
                  0,
                  0,
-                 gsCandidatesFor(fleet, wanted, random) };
-  if (search.Among.Rows.empty()) {
+                 gsSelectCandidates(fleet, query, random) };
+  if (search.Candidates.Rows.empty()) {
     return {};
   }
-  NoteCandidates(choice, fleet, search.Among, ask, now);
-  search.Looks = LooksOf(search, search.Among.Rows);
-  search.Best.Group = choice.Border ? choice.Group : gsFleetGroup::Any;
-  LookAround(search);
+  SetCandidates(context, fleet, search.Candidates, request, now);
+  search.SampleSize = SampleSizeFor(search, search.Candidates.Rows);
+  search.Best.Group =
+    context.GroupBoundary ? context.Group : gsFleetGroup::Any;
+  EvaluateSample(search);
   if (search.Best.Row == nullptr) {
-    Consider(search, gsFurtherCandidates(fleet, wanted, random));
+    Evaluate(search, gsDrawFurtherCandidates(fleet, query, random));
   }
-  Settle(search);
+  CompletePlacement(search);
   return search.Best;
 }
--- a/Source/Core/gsPlacement.h
+++ b/Source/Core/gsPlacement.h
@@ -1,9 +1,17 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * The choice of an upstream for one request: the one that costs least, in
- * tokens of prompt that would be read before the request's first token.
- * Nothing here reads a clock or does I/O.
+ * The choice of an upstream for one request: the eligible one with the lowest
+ * cost, in tokens of prompt that an engine would read before the request's
+ * first token. The cost also covers load, failures, the engine's group and
+ * memory, and the shared parts of the prompt that the upstream has cached; see
+ * gsPlacementCost.h.
+ *
+ * Each host chooses on its own, by a view of the other hosts' work that is
+ * some tenths of a second old. To keep hosts from all choosing the same
+ * upstream, each request evaluates only a sample of the upstreams when free
+ * slots are scarce, and ties are broken at random. Callers pass in the current
+ * time. Nothing here does I/O.
  */
 #pragma once
 
@@ -14,117 +22,138 @@
 
 #include "gsFleet.h"
 
-/** A request as far as the choice is concerned. */
-struct gsPlacementAsk
+/** The properties of a request that determine its placement. */
+struct gsPlacementRequest
 {
   std::string_view Service;
+  /** Parts of the prompt in their order. All but the last are shared with
+   * other requests. Null if unknown. */
   std::vector<gsPromptPart> const* Parts = nullptr;
   std::uint32_t PromptTokens = 0;
   std::uint32_t AnswerTokens = 0;
   gsFleetGroup Group = gsFleetGroup::Any; ///< See gsInterference.h.
-  /** Tokens that an engine reads within the target; 0 when not known. */
+  /** Prompt tokens that an engine reads within the target time to the first
+   * token; 0 if unknown. */
   double TargetTokens = 0;
-  /** Milliseconds that an engine takes to read a token. */
-  double TokenMillis = 0;
-  /** Engines take cached parts of prompts from each other. */
-  bool MayMove = false;
-  /** Memory of one upstream, tokens; 0 when it is not known. */
-  std::uint64_t UpstreamMemory = 0;
-  /** Attempts that this host may have open at one upstream; 0 for any. */
-  std::uint32_t MostOwn = 0;
-  /** Hosts that choose among the same upstreams at the same time, each by a
-   * view of the others' work that is some tenths of a second old. */
+  /** Milliseconds that an engine takes to read a token; 0 if unknown. */
+  double MillisPerToken = 0;
+  /** Engines can transfer cached prompt parts to each other. */
+  bool CanTransferParts = false;
+  /** Memory of one upstream, in tokens; 0 if unknown. */
+  std::uint64_t UpstreamMemoryTokens = 0;
+  /** Maximum number of open attempts of this host at one upstream; 0 for no
+   * limit. */
+  std::uint32_t MaxOwnAttempts = 0;
+  /** Number of hosts that place requests on the same upstreams concurrently.
+   */
   std::size_t Hosts = 1;
-  /** The most hosts that there were of late, in all parts of a system that may
-   * be cut: what all share is divided by it. */
-  std::size_t HostsOfLate = 1;
-  /** Requests a second that a cold upstream bears of all hosts; 0 for any. */
+  /** Recent peak number of hosts. Quotas that all hosts share are divided by
+   * it, so that they hold even if a network partition has separated the hosts.
+   */
+  std::size_t RecentPeakHosts = 1;
+  /** Requests per second that a cold upstream accepts from all hosts combined;
+   * 0 for no limit. */
   double ColdPerSecond = 0;
-  /** Regions outside of which the request may not be served, by its route and
-   * by its organisation; both bind. Null or empty for any. */
+  /** Regions in which the route allows the request to be served. Null or empty
+   * for all. */
   std::vector<std::string> const* RouteRegions = nullptr;
+  /** Regions in which the organisation allows its requests to be served, in
+   * addition to the restriction by RouteRegions. Null or empty for all. */
   std::vector<std::string> const* OrganisationRegions = nullptr;
-  /** Only upstreams of this host's hall: another hall has been tried in vain,
-   * and in a cut all others are as far. */
+  /** Place the request only in this host's hall: an attempt in another hall
+   * has failed, and in a network partition all other halls are likely to be
+   * unreachable too. */
   bool OwnHallOnly = false;
-  /** Kinds of requests of the service that are more urgent than this one; such
-   * a request leaves places at the engines to these. */
+  /** Number of request kinds of the service that are more urgent than this
+   * one. Less urgent requests leave queue places at the engines to them. */
   std::uint32_t MoreUrgentKinds = 0;
-  /** Upstreams that this request was sent to already. */
-  std::vector<gsIncarnation> const* Tried = nullptr;
+  /** Upstreams to which this request has been sent already. Null for none. */
+  std::vector<gsIncarnation> const* TriedUpstreams = nullptr;
 };
 
-/** Why a request can or cannot be placed. */
+/** Why a request was placed on an upstream or could not be placed. */
 enum class gsPlacementCause
 {
-  Cached,         ///< The upstream has read part of the prompt before.
-  Preferred,      ///< All hosts prefer it for the request's subject.
-  LeastLoaded,    ///< The cheapest of all.
-  NoUpstream,     ///< The service has none that may get work.
-  NoConnection,   ///< This host's share of connections is used up at all.
-  RateLimited,    ///< Remaining upstreams are rate-limited and have no token.
-  Full,           ///< The places left are for more urgent requests.
-  Cold,           ///< Those left are cold, and have got what they bear.
-  Resting,        ///< Those left want nothing from this host for a while.
-  OutsideRegions, ///< There are some, and none where it may be served.
-  Unreachable     ///< It has some, and none can be reached for now.
+  Cached,       ///< The upstream has part of the prompt cached.
+  Preferred,    ///< The upstream is the home of the request's subject.
+  LeastLoaded,  ///< The upstream has the lowest cost.
+  NoUpstream,   ///< The service has no upstream that accepts work.
+  NoConnection, ///< This host's connection share of each upstream is in use.
+  RateLimited,  ///< Remaining upstreams are rate-limited and have no token.
+  Full, ///< Remaining queue places are reserved for more urgent requests.
+  Cold, ///< Remaining upstreams are cold, and this host's quota is used up.
+  BackingOff,     ///< Remaining upstreams asked this host to back off.
+  OutsideRegions, ///< No upstream is in a region where it may be served.
+  Unreachable     ///< Remaining upstreams cannot be reached at present.
 };
 
-char const* gsPlacementWord(gsPlacementCause cause);
+/** Name of the cause in logs and in answers to callers. */
+char const* gsPlacementCauseName(gsPlacementCause cause);
 
+/** The result of the choice. */
 struct gsPlacement
 {
-  gsFleetRow* Row = nullptr; ///< Null when there is none.
+  gsFleetRow* Row = nullptr; ///< The chosen upstream; null if there is none.
   gsPlacementCause Cause = gsPlacementCause::NoUpstream;
-  /** It probably holds the shared parts that Row lacks; null for none. */
-  gsFleetRow const* Holder = nullptr;
-  std::uint32_t ReadTokens = 0; ///< Of the prompt, neither there nor handed
-                                ///< over.
-  double Cost = 0;              ///< Tokens.
-  std::uint32_t Candidates = 0;
-  /** If all remaining upstreams rest or are rate-limited: time until the first
-   * of those considered accepts work again. */
-  gsTime RestLeft{};
+  /** Upstream that probably has the shared parts that Row lacks, and can
+   * transfer them to it; null if there is none. */
+  gsFleetRow const* TransferSource = nullptr;
+  /** Prompt tokens that the upstream has neither cached nor can obtain by a
+   * transfer. */
+  std::uint32_t TokensToRead = 0;
+  double Cost = 0; ///< Of Row, in tokens.
+  /** Number of evaluated upstreams that could have been chosen. */
+  std::uint32_t CandidateCount = 0;
+  /** Time until the first of the evaluated upstreams accepts work again; valid
+   * only if Cause is BackingOff or RateLimited. */
+  gsTime RetryAfter{};
   /** Upstream with the lowest cost that was skipped because no token of its
    * rate limit is available; null if there is none. */
   gsFleetRow const* RateLimitedRow = nullptr;
-  gsFleetGroup Group = gsFleetGroup::Any; ///< That the request belongs to.
+  /** Group of the request; Any if the engines are not divided. */
+  gsFleetGroup Group = gsFleetGroup::Any;
 };
 
 /**
- * How many upstreams one request looks at when free slots are scarce. All
- * hosts see the same upstream as the emptiest then, by views that are some
- * tenths of a second old. If each sends a request to the emptiest that it
- * looks at in that time, half of its slots shall hold them.
+ * Number of upstreams that one request samples when free slots are scarce. All
+ * hosts then see the same upstream as the least loaded, by views that are some
+ * tenths of a second old. If each host sends one request to the least loaded
+ * upstream of its sample within that time, an upstream receives no more
+ * requests than half of its slots.
  */
-std::size_t gsLooks(std::size_t upstreams, std::uint32_t slots,
-                    std::size_t hosts);
+std::size_t gsSampleSize(std::size_t upstreams, std::uint32_t slots,
+                         std::size_t hosts);
 
 /**
- * Requests that an upstream may have open before one of this urgency is sent
- * there; 0 for any number. The most urgent kind may fill the upstream's queue;
- * the others leave places in it, since what is turned away has often used up
- * its only attempt.
+ * Number of open requests at an upstream at which it receives no more requests
+ * of this urgency; 0 for no limit. Only the most urgent kind may fill the
+ * upstream's queue. The others leave places in it for more urgent requests,
+ * because a request that an upstream rejects has often used its only attempt.
  */
-std::uint32_t gsMostOpen(std::uint32_t slots, std::uint32_t moreUrgentKinds);
+std::uint32_t gsMaxOpenRequests(std::uint32_t slots,
+                                std::uint32_t moreUrgentKinds);
 
-/** Chooses an upstream; the random source breaks ties between hosts. Time does
- * not grow with the number of upstreams beyond some hundreds. */
-gsPlacement gsPlace(gsFleet& fleet, gsPlacementAsk const& asked, gsTime now,
-                    gsRandom& random);
+/** Chooses an upstream. The random source breaks ties differently on each
+ * host. The running time does not depend on the number of upstreams above
+ * gsMaxFullyEvaluated. */
+gsPlacement gsPlaceRequest(gsFleet& fleet,
+                           gsPlacementRequest const& originalRequest,
+                           gsTime now, gsRandom& random);
 
 /**
- * This host's share of the connections that an upstream accepts of all hosts
- * together; 0 when the upstream sets no limit.
+ * This host's share of the connections that an upstream accepts from all hosts
+ * combined; 0 if the upstream sets no limit.
  */
 std::uint32_t gsConnectionShare(std::uint32_t accepted, std::size_t hosts);
 
-/** The part by which requests are kept together: the last shared one. */
-std::uint64_t gsSubjectOf(gsPlacementAsk const& ask);
+/** Name of the last shared prompt part, by which related requests are sent to
+ * the same upstream; 0 if the prompt has no shared part. */
+std::uint64_t gsSubjectOf(gsPlacementRequest const& request);
 
-/** Tokens of the parts that the prompt shares with others. */
-std::uint32_t gsSharedTokens(gsPlacementAsk const& ask);
+/** Number of tokens of the prompt parts shared with other requests. */
+std::uint32_t gsSharedTokens(gsPlacementRequest const& request);
 
-/** Prompt tokens that the upstream would have to read. */
+/** Number of prompt tokens that the upstream has not cached, as far as this
+ * host's own requests show. */
 std::uint32_t gsTokensToRead(gsFleet const& fleet, gsFleetRow const& row,
-                             gsPlacementAsk const& ask, gsTime now);
+                             gsPlacementRequest const& request, gsTime now);
--- a/Source/Core/gsPlacementCost.cxx
+++ b/Source/Core/gsPlacementCost.cxx
@@ -12,74 +12,88 @@
 
 namespace {
 
-/** Expected first token, as a share of the target, at which a miss is thought
- * sure; see MissFrom. */
-constexpr double MissSure = 1.3;
-/** Failures above the mean that are put down to chance. */
-constexpr double FailTolerance = 0.2;
-/** How sure it is that the preferred upstream holds a shared part, */
-constexpr double PreferredShare = 0.8;
-/** once it has run for so long since it started again: with 1,500 subjects of
- * equal weight among 112 engines and 200 requests a second, an engine has read
- * half of its own after 5 s (worked out). */
-constexpr gsTime HomeFill = gsSeconds(10);
+/** Expected time to the first token, as a share of the target, from which on a
+ * missed target is considered certain; see MinMissShare. */
+constexpr double CertainMissShare = 1.3;
+/** Difference between an upstream's failure share and the mean that is
+ * attributed to chance and costs nothing. */
+constexpr double FailureTolerance = 0.2;
+/** Probability that the home of a subject has its shared parts cached, unless
+ * it has restarted within HomeWarmupTime. */
+constexpr double HomeHitProbability = 0.8;
+/** Time after a restart during which the probability of a hit rises from 0 to
+ * HomeHitProbability. With 1,500 equally frequent subjects on 112 engines and
+ * 200 requests per second, an engine has read half of its subjects after 5 s.
+ */
+constexpr gsTime HomeWarmupTime = gsSeconds(10);
 /**
- * Share of the time to read parts that is saved when they are handed over.
- * Worked out from engines' data, not measured: some 4,000 tokens take 20 ms
- * over an engine's link and 100 ms or more to read, on engines of 40 tokens a
- * millisecond.
+ * Share of the time to read prompt parts that is saved by transferring them
+ * from another engine. Computed from engine specifications: 4,000 tokens take
+ * about 20 ms over an engine's link, and 100 ms or more to read at 40 tokens
+ * per millisecond.
  */
-constexpr double HandedOverShare = 0.8;
+constexpr double TransferSavedShare = 0.8;
 
-/** Failures of the service's upstreams in the mean; some are its own way. */
-double MeanFailShare(gsFleet const& fleet,
-                     std::vector<std::size_t> const& rows, gsTime now)
+/** Mean failure share of the given upstreams. A service may have a certain
+ * failure share on all its upstreams, which does not count against any one. */
+double MeanOfFailureShares(gsFleet const& fleet,
+                           std::vector<std::size_t> const& rows, gsTime now)
 {
   double sum = 0;
   for (std::size_t index : rows) {
-    sum += gsFailShare(fleet.Rows[index], now);
+    sum += gsFailureRate(fleet.Rows[index], now);
   }
   return rows.empty() ? 0 : sum / static_cast<double>(rows.size());
 }
 
-/** What waiting for the engine to read costs: little while in target. */
+/** Cost of waiting until the engine has read the given tokens. Tokens within a
+ * set share of the target have a lower weight than those beyond it. */
 double WaitCost(gsFleetSettings const& settings, double tokens,
                 double targetTokens)
 {
   if (targetTokens <= 0) {
     return tokens;
   }
-  double early = std::min(tokens, settings.TargetShare * targetTokens);
-  return settings.EarlyWeight * early + settings.LateWeight * (tokens - early);
+  double inTarget = std::min(tokens, settings.TargetShare * targetTokens);
+  return settings.InTargetWaitWeight * inTarget +
+         settings.LateWaitWeight * (tokens - inTarget);
 }
 
-/** What an upstream would cost this request, in tokens. */
-double CostOf(gsFleet const& fleet, gsFleetRow const& row,
-              gsPlacementAsk const& ask, std::uint32_t toRead,
-              double usualFailShare, gsTime now)
+/** Cost of an upstream for this request in tokens, by its load, hall and
+ * failures. */
+double BaseCost(gsFleet const& fleet, gsFleetRow const& row,
+                gsPlacementRequest const& request, std::uint32_t toRead,
+                double meanFailureShare, gsTime now)
 {
   gsFleetSettings const& settings = fleet.Settings;
-  gsOpenWork work = gsWorkAt(fleet, row, now);
-  double cost = WaitCost(
-    settings, static_cast<double>(work.ReadTokens) + toRead, ask.TargetTokens);
-  cost += settings.RunningTokens * work.Running;
-  if (work.Running >= row.Listed.Slots) {
-    cost += settings.QueuedTokens * (1.0 + work.Running - row.Listed.Slots);
+  gsOutstandingLoad work = gsTotalLoad(fleet, row, now);
+  double cost =
+    WaitCost(settings, static_cast<double>(work.PendingPromptTokens) + toRead,
+             request.TargetTokens);
+  cost += settings.RunningCost * work.OpenAttempts;
+  if (work.OpenAttempts >= row.Listed.Slots) {
+    cost += settings.QueuedCost * (1.0 + work.OpenAttempts - row.Listed.Slots);
   }
   if (row.Listed.Hall != settings.Hall) {
-    cost += settings.OtherHallTokens;
+    cost += settings.OtherHallCost;
   }
-  double excess = gsFailShare(row, now) - usualFailShare - FailTolerance;
-  return cost + settings.FailTokens * std::max(0.0, excess);
+  double excess =
+    gsFailureRate(row, now) - meanFailureShare - FailureTolerance;
+  return cost + settings.FailureCost * std::max(0.0, excess);
 }
 
-bool HasConnection(gsFleetRow const& row, gsPlacementAsk const& ask)
+/** Whether this host has fewer open attempts at the upstream than allowed. */
+bool HasFreeConnection(gsFleetRow const& row,
+                       gsPlacementRequest const& request)
 {
-  return ask.MostOwn == 0 || row.Own.Running < ask.MostOwn;
+  return request.MaxOwnAttempts == 0 ||
+         row.OwnLoad.OpenAttempts < request.MaxOwnAttempts;
 }
 
-/** Whether a list names a region; one that is empty or absent names all. */
-bool Names(std::vector<std::string> const* regions, std::string const& region)
+/** Whether a list contains a region. An empty or null list allows all regions.
+ */
+bool AllowsRegion(std::vector<std::string> const* regions,
+                  std::string const& region)
 {
   return regions == nullptr || regions->empty() ||
          std::find(regions->begin(), regions->end(), region) != regions->end();
@@ -87,61 +101,66 @@
 
 } // namespace
 
-bool WasTried(gsPlacementAsk const& ask, gsFleetRow const& row)
+bool WasTried(gsPlacementRequest const& request, gsFleetRow const& row)
 {
-  if (ask.Tried == nullptr) {
+  if (request.TriedUpstreams == nullptr) {
     return false;
   }
-  for (gsIncarnation const& tried : *ask.Tried) {
-    if (tried.Born == row.Listed.Born && tried.Id == row.Listed.Id) {
+  for (gsIncarnation const& tried : *request.TriedUpstreams) {
+    if (tried.StartedAt == row.Listed.StartedAt && tried.Id == row.Listed.Id) {
       return true;
     }
   }
   return false;
 }
 
-bool IsAllowed(gsFleet const& fleet, gsFleetRow const& row,
-               gsPlacementAsk const& ask)
+bool IsInAllowedRegion(gsFleet const& fleet, gsFleetRow const& row,
+                       gsPlacementRequest const& request)
 {
-  bool any =
-    (ask.RouteRegions == nullptr || ask.RouteRegions->empty()) &&
-    (ask.OrganisationRegions == nullptr || ask.OrganisationRegions->empty());
-  if (any) {
+  bool isUnrestricted =
+    (request.RouteRegions == nullptr || request.RouteRegions->empty()) &&
+    (request.OrganisationRegions == nullptr ||
+     request.OrganisationRegions->empty());
+  if (isUnrestricted) {
     return true;
   }
   auto region = fleet.Settings.Regions.find(row.Listed.Hall);
   return region != fleet.Settings.Regions.end() &&
-         Names(ask.RouteRegions, region->second) &&
-         Names(ask.OrganisationRegions, region->second);
+         AllowsRegion(request.RouteRegions, region->second) &&
+         AllowsRegion(request.OrganisationRegions, region->second);
 }
 
-bool IsTooCold(gsFleet const& fleet, gsFleetRow const& row,
-               gsPlacementAsk const& ask, gsTime now)
+bool ExceedsColdQuota(gsFleet const& fleet, gsFleetRow const& row,
+                      gsPlacementRequest const& request, gsTime now)
 {
   if (row.ColdUntil <= now) {
     return false;
   }
-  gsColdShare share = gsShareOfCold(ask.ColdPerSecond, ask.HostsOfLate,
-                                    fleet.Settings.Host, row.Listed.Id);
-  return !share.Sends || now - row.ColdSentAt < share.Gap;
+  gsColdShare share =
+    gsColdShareOfHost(request.ColdPerSecond, request.RecentPeakHosts,
+                      fleet.Settings.Host, row.Listed.Id);
+  return !share.MaySend || now - row.ColdSentAt < share.MinInterval;
 }
 
-bool WaitsToReturn(gsFleet const& fleet, gsFleetRow const& row,
-                   gsPlacementAsk const& ask, gsTime now)
+bool MustDelayResumption(gsFleet const& fleet, gsFleetRow const& row,
+                         gsPlacementRequest const& request, gsTime now)
 {
-  return !gsMayReturn(
-    row.Heard, { fleet.Settings.Host, row.Listed.Id, ask.HostsOfLate }, now);
+  return !gsSlowStartAllows(
+    row.Announced,
+    { fleet.Settings.Host, row.Listed.Id, request.RecentPeakHosts }, now);
 }
 
-bool MayGet(gsFleet const& fleet, gsFleetRow const& row,
-            gsPlacementAsk const& ask, gsTime now)
+bool IsEligible(gsFleet const& fleet, gsFleetRow const& row,
+                gsPlacementRequest const& request, gsTime now)
 {
-  return HasConnection(row, ask) && gsTakesWork(fleet, row, now) &&
-         !WaitsToReturn(fleet, row, ask, now) && row.AvoidUntil <= now &&
-         !WasTried(ask, row) &&
-         gsHallMayTry(fleet.Halls, row.Listed.Hall, now) &&
-         IsAllowed(fleet, row, ask) && !IsTooCold(fleet, row, ask, now) &&
-         !(ask.OwnHallOnly && row.Listed.Hall != fleet.Settings.Hall);
+  return HasFreeConnection(row, request) &&
+         gsAcceptsRequests(fleet, row, now) &&
+         !MustDelayResumption(fleet, row, request, now) &&
+         row.AvoidUntil <= now && !WasTried(request, row) &&
+         gsHallMaySend(fleet.HallReachability, row.Listed.Hall, now) &&
+         IsInAllowedRegion(fleet, row, request) &&
+         !ExceedsColdQuota(fleet, row, request, now) &&
+         !(request.OwnHallOnly && row.Listed.Hall != fleet.Settings.Hall);
 }
 
 bool HasToken(gsFleet const& fleet, gsFleetRow const& row, gsTime now)
@@ -149,29 +168,32 @@
   return gsHasToken(fleet.RateLimits, row.Hash, now);
 }
 
-bool HasPlace(gsFleet const& fleet, gsFleetRow const& row,
-              gsPlacementAsk const& ask, gsTime now)
+bool HasQueuePlace(gsFleet const& fleet, gsFleetRow const& row,
+                   gsPlacementRequest const& request, gsTime now)
 {
-  std::uint32_t most = gsMostOpen(row.Listed.Slots, ask.MoreUrgentKinds);
-  return most == 0 || gsWorkAt(fleet, row, now).Running < most;
+  std::uint32_t limit =
+    gsMaxOpenRequests(row.Listed.Slots, request.MoreUrgentKinds);
+  return limit == 0 || gsTotalLoad(fleet, row, now).OpenAttempts < limit;
 }
 
-bool InGroup(gsFleetRow const& row, Choice const& choice)
+bool IsInGroup(gsFleetRow const& row, PlacementContext const& context)
 {
-  if (choice.Group == gsFleetGroup::Any || !choice.Border) {
+  if (context.Group == gsFleetGroup::Any || !context.GroupBoundary) {
     return true;
   }
-  bool isLong = gsIsBefore(row, choice.Border);
-  return isLong == (choice.Group == gsFleetGroup::Long);
+  bool isLong = gsIsAtOrBefore(row, context.GroupBoundary);
+  return isLong == (context.Group == gsFleetGroup::Long);
 }
 
 namespace {
 
-/** The first in a subject's order of those that a predicate lets pass. */
+/** The first upstream in a subject's rendezvous order that satisfies a
+ * predicate; null if none does. */
 template<typename Predicate>
-gsFleetRow const* FirstInOrder(gsFleet const& fleet,
-                               std::vector<std::size_t> const& rows,
-                               std::uint64_t subject, Predicate const& counts)
+gsFleetRow const* FirstInSubjectOrder(gsFleet const& fleet,
+                                      std::vector<std::size_t> const& rows,
+                                      std::uint64_t subject,
+                                      Predicate const& predicate)
 {
   gsFleetRow const* best = nullptr;
   std::uint64_t bestWeight = 0;
@@ -179,7 +201,7 @@
     gsFleetRow const& row = fleet.Rows[index];
     std::uint64_t weight = gsRendezvousWeight(row.Listed.Id, subject);
     bool better = best == nullptr || weight > bestWeight;
-    if (better && counts(row)) {
+    if (better && predicate(row)) {
       best = &row;
       bestWeight = weight;
     }
@@ -187,254 +209,291 @@
   return best;
 }
 
-/** The upstream on which all hosts agree for the request's subject. */
-gsFleetRow const* PreferredFor(gsFleet const& fleet,
-                               std::vector<std::size_t> const& rows,
-                               gsPlacementAsk const& ask, Choice const& choice,
-                               gsTime now)
+/** The home of the request's subject; null without a subject or if no upstream
+ * of the group is eligible. */
+gsFleetRow const* FindHome(gsFleet const& fleet,
+                           std::vector<std::size_t> const& rows,
+                           gsPlacementRequest const& request,
+                           PlacementContext const& context, gsTime now)
 {
-  std::uint64_t subject = gsSubjectOf(ask);
+  std::uint64_t subject = gsSubjectOf(request);
   if (subject == 0) {
     return nullptr;
   }
-  return FirstInOrder(fleet, rows, subject, [&](gsFleetRow const& row) {
-    return MayGet(fleet, row, ask, now) && InGroup(row, choice);
+  return FirstInSubjectOrder(fleet, rows, subject, [&](gsFleetRow const& row) {
+    return IsEligible(fleet, row, request, now) && IsInGroup(row, context);
   });
 }
 
-/** Whether other engines may take parts from it, as far as is known. */
-bool CanHandOver(gsFleet const& fleet, gsFleetRow const& row,
-                 gsPlacementAsk const& ask, gsTime now)
+/** Whether other engines can probably obtain prompt parts from this one: it
+ * and its hall can be reached, and the request may use its region. */
+bool CanTransferFrom(gsFleet const& fleet, gsFleetRow const& row,
+                     gsPlacementRequest const& request, gsTime now)
 {
-  return row.AvoidUntil <= now && IsAllowed(fleet, row, ask) &&
-         !gsHallIsCutOff(fleet.Halls, row.Listed.Hall);
+  return row.AvoidUntil <= now && IsInAllowedRegion(fleet, row, request) &&
+         !gsHallIsUnreachable(fleet.HallReachability, row.Listed.Hall);
 }
 
-/** The one that was preferred before the last change of the division. */
-gsFleetRow const* PreferredBefore(gsFleet const& fleet,
-                                  std::vector<std::size_t> const& rows,
-                                  gsPlacementAsk const& ask,
-                                  Choice const& choice, gsTime now)
+/** The home of the request's subject before the engines were last divided into
+ * groups anew; null if there is none. */
+gsFleetRow const* FindPreviousHome(gsFleet const& fleet,
+                                   std::vector<std::size_t> const& rows,
+                                   gsPlacementRequest const& request,
+                                   PlacementContext const& context, gsTime now)
 {
-  return FirstInOrder(fleet, rows, gsSubjectOf(ask),
-                      [&](gsFleetRow const& row) {
-                        bool fits = row.GroupBefore == gsFleetGroup::Any ||
-                                    row.GroupBefore == choice.Group;
-                        return fits && CanHandOver(fleet, row, ask, now);
-                      });
+  return FirstInSubjectOrder(
+    fleet, rows, gsSubjectOf(request), [&](gsFleetRow const& row) {
+      bool fits = row.PreviousGroup == gsFleetGroup::Any ||
+                  row.PreviousGroup == context.Group;
+      return fits && CanTransferFrom(fleet, row, request, now);
+    });
 }
 
-/** How sure it is that a subject's home holds its shared parts. */
-double HomeShare(gsFleetRow const& home, gsTime now)
+/** Probability that a subject's home has the subject's shared parts cached. */
+double HomeHitProbabilityOf(gsFleetRow const& home, gsTime now)
 {
   if (home.RestartedAt.count() == 0) {
-    return PreferredShare;
+    return HomeHitProbability;
   }
-  double filled = gsToSeconds(now - home.RestartedAt) / gsToSeconds(HomeFill);
-  return PreferredShare * std::clamp(filled, 0.0, 1.0);
+  double warmth =
+    gsToSeconds(now - home.RestartedAt) / gsToSeconds(HomeWarmupTime);
+  return HomeHitProbability * std::clamp(warmth, 0.0, 1.0);
 }
 
-bool IsMovable(gsFleetSettings const& settings, gsPlacementAsk const& ask)
+/** Whether transferring the shared parts between engines is possible and worth
+ * it. */
+bool IsTransferable(gsFleetSettings const& settings,
+                    gsPlacementRequest const& request)
 {
-  return ask.MayMove && gsSharedTokens(ask) >= settings.MinMovedTokens;
+  return request.CanTransferParts &&
+         gsSharedTokens(request) >= settings.MinTransferTokens;
 }
 
 } // namespace
 
-std::uint32_t ExpectedRead(gsFleet const& fleet, gsFleetRow const& row,
-                           gsPlacementAsk const& ask, Choice const& choice,
-                           std::uint32_t toRead, gsTime now)
+std::uint32_t ExpectedTokensToRead(gsFleet const& fleet, gsFleetRow const& row,
+                                   gsPlacementRequest const& request,
+                                   PlacementContext const& context,
+                                   std::uint32_t toRead, gsTime now)
 {
-  std::uint32_t shared = gsSharedTokens(ask);
-  std::uint32_t cached = ask.PromptTokens - toRead;
+  std::uint32_t shared = gsSharedTokens(request);
+  std::uint32_t cached = request.PromptTokens - toRead;
   double missing = shared - std::min(shared, cached);
   double saved = 0;
-  if (&row == choice.Preferred) {
-    saved = HomeShare(row, now);
-  } else if (IsMovable(fleet.Settings, ask) && choice.Preferred != nullptr) {
-    saved = HomeShare(*choice.Preferred, now) * HandedOverShare;
+  if (&row == context.Home) {
+    saved = HomeHitProbabilityOf(row, now);
+  } else if (IsTransferable(fleet.Settings, request) &&
+             context.Home != nullptr) {
+    saved = HomeHitProbabilityOf(*context.Home, now) * TransferSavedShare;
   }
   return toRead - static_cast<std::uint32_t>(saved * missing);
 }
 
 namespace {
 
-/** What reading shared parts a further time costs, in tokens. */
-double AgainCost(gsFleet const& fleet, gsFleetRow const& row,
-                 gsPlacementAsk const& ask, Choice const& choice,
-                 std::uint32_t toRead, gsTime now)
+/** Cost of reading shared parts that another engine has already read, in
+ * tokens. */
+double RereadCost(gsFleet const& fleet, gsFleetRow const& row,
+                  gsPlacementRequest const& request,
+                  PlacementContext const& context, std::uint32_t toRead,
+                  gsTime now)
 {
-  if (choice.Preferred == nullptr) {
+  if (context.Home == nullptr) {
     return 0;
   }
-  std::uint32_t shared = gsSharedTokens(ask);
-  std::uint32_t cached = ask.PromptTokens - toRead;
+  std::uint32_t shared = gsSharedTokens(request);
+  std::uint32_t cached = request.PromptTokens - toRead;
   double missing = shared - std::min(shared, cached);
-  if (&row == choice.Preferred) {
-    // Other hosts send the same subject there.
-    missing *= 1 - HomeShare(row, now);
+  if (&row == context.Home) {
+    // The home has probably read the parts for requests of other hosts.
+    missing *= 1 - HomeHitProbabilityOf(row, now);
   }
-  bool movable = IsMovable(fleet.Settings, ask);
-  return missing *
-         (movable ? fleet.Settings.MovedWeight : fleet.Settings.AgainWeight);
+  bool isTransferable = IsTransferable(fleet.Settings, request);
+  return missing * (isTransferable ? fleet.Settings.TransferWeight
+                                   : fleet.Settings.ReprocessWeight);
 }
 
 } // namespace
 
-double ExpectedShare(gsFleet const& fleet, gsFleetRow const& row,
-                     gsPlacementAsk const& ask, Choice const& choice,
-                     std::uint32_t toRead, gsTime now)
+double ExpectedTargetShare(gsFleet const& fleet, gsFleetRow const& row,
+                           gsPlacementRequest const& request,
+                           PlacementContext const& context,
+                           std::uint32_t toRead, gsTime now)
 {
-  if (ask.TargetTokens <= 0 || ask.TokenMillis <= 0) {
+  if (request.TargetTokens <= 0 || request.MillisPerToken <= 0) {
     return 0;
   }
-  gsOpenWork work = gsWorkAt(fleet, row, now);
+  gsOutstandingLoad work = gsTotalLoad(fleet, row, now);
   double slots = std::max(1U, row.Listed.Slots);
-  double queued = std::max(0.0, work.Running + 1.0 - slots);
-  bool isLong = gsIsBefore(row, choice.Border);
-  double hold = isLong ? choice.HoldLong : choice.HoldTight;
-  double wait = queued * hold / slots / ask.TokenMillis;
-  double tokens = static_cast<double>(work.ReadTokens) + toRead;
-  return (tokens + wait) / ask.TargetTokens;
+  double queued = std::max(0.0, work.OpenAttempts + 1.0 - slots);
+  bool isLong = gsIsAtOrBefore(row, context.GroupBoundary);
+  double holdMillis =
+    isLong ? context.LongHoldMillis : context.TightHoldMillis;
+  double wait = queued * holdMillis / slots / request.MillisPerToken;
+  double tokens = static_cast<double>(work.PendingPromptTokens) + toRead;
+  return (tokens + wait) / request.TargetTokens;
 }
 
 namespace {
 
-/** What it costs that the answer may begin beyond its target. */
+/** Cost of the risk that the first token misses its target. */
 double MissCost(gsFleet const& fleet, gsFleetRow const& row,
-                gsPlacementAsk const& ask, Choice const& choice,
-                std::uint32_t toRead, gsTime now)
+                gsPlacementRequest const& request,
+                PlacementContext const& context, std::uint32_t toRead,
+                gsTime now)
 {
-  double share = ExpectedShare(fleet, row, ask, choice, toRead, now);
-  double chance =
-    std::clamp((share - MissFrom) / (MissSure - MissFrom), 0.0, 1.0);
-  // Of several that surely miss, the one that misses least is the best.
-  double beyond = std::max(0.0, share - MissSure);
-  return fleet.Settings.MissTokens * (chance + beyond / MissSure);
+  double share =
+    ExpectedTargetShare(fleet, row, request, context, toRead, now);
+  double probability = std::clamp(
+    (share - MinMissShare) / (CertainMissShare - MinMissShare), 0.0, 1.0);
+  // Beyond a certain miss the cost still grows, so that of several upstreams
+  // that miss the target the one that misses it least is chosen.
+  double excess = std::max(0.0, share - CertainMissShare);
+  return fleet.Settings.TargetMissCost *
+         (probability + excess / CertainMissShare);
 }
 
 } // namespace
 
-bool HoldsShared(gsFleet const& fleet, gsFleetRow const& row,
-                 gsPlacementAsk const& ask, gsTime now)
+bool HoldsSharedParts(gsFleet const& fleet, gsFleetRow const& row,
+                      gsPlacementRequest const& request, gsTime now)
 {
-  std::uint32_t toRead = gsTokensToRead(fleet, row, ask, now);
-  return toRead + gsSharedTokens(ask) <= ask.PromptTokens;
+  std::uint32_t toRead = gsTokensToRead(fleet, row, request, now);
+  return toRead + gsSharedTokens(request) <= request.PromptTokens;
 }
 
-gsFleetRow const* HolderFor(gsFleet const& fleet,
-                            gsCandidates const& candidates,
-                            gsPlacementAsk const& ask, Choice const& choice,
-                            gsFleetRow const& chosen, gsTime now)
+gsFleetRow const* FindTransferSource(gsFleet const& fleet,
+                                     gsCandidates const& candidates,
+                                     gsPlacementRequest const& request,
+                                     PlacementContext const& context,
+                                     gsFleetRow const& chosen, gsTime now)
 {
-  bool movable = choice.Preferred != nullptr && IsMovable(fleet.Settings, ask);
-  if (!movable || HoldsShared(fleet, chosen, ask, now)) {
+  bool isTransferable =
+    context.Home != nullptr && IsTransferable(fleet.Settings, request);
+  if (!isTransferable || HoldsSharedParts(fleet, chosen, request, now)) {
     return nullptr;
   }
   for (std::size_t index : candidates.Rows) {
     gsFleetRow const& row = fleet.Rows[index];
-    if (CanHandOver(fleet, row, ask, now) &&
-        HoldsShared(fleet, row, ask, now)) {
+    if (CanTransferFrom(fleet, row, request, now) &&
+        HoldsSharedParts(fleet, row, request, now)) {
       return &row;
     }
   }
-  bool fresh = HomeShare(*choice.Preferred, now) < PreferredShare;
-  if (&chosen != choice.Preferred && !fresh) {
-    return choice.Preferred;
+  bool isWarmingUp =
+    HomeHitProbabilityOf(*context.Home, now) < HomeHitProbability;
+  if (&chosen != context.Home && !isWarmingUp) {
+    return context.Home;
   }
   gsFleetRow const* before =
-    PreferredBefore(fleet, candidates.Homes, ask, choice, now);
+    FindPreviousHome(fleet, candidates.HomeRows, request, context, now);
   if (before != nullptr && before != &chosen) {
     return before;
   }
-  // What its home could not take has gone to the next in its order.
-  return FirstInOrder(fleet, candidates.Homes, gsSubjectOf(ask),
-                      [&](gsFleetRow const& row) {
-                        return &row != &chosen && InGroup(row, choice) &&
-                               CanHandOver(fleet, row, ask, now);
-                      });
+  // Requests that the home could not take were sent to the next upstream in
+  // the subject's order.
+  return FirstInSubjectOrder(
+    fleet, candidates.HomeRows, gsSubjectOf(request),
+    [&](gsFleetRow const& row) {
+      return &row != &chosen && IsInGroup(row, context) &&
+             CanTransferFrom(fleet, row, request, now);
+    });
 }
 
 namespace {
 
-double OtherGroupCost(gsFleetSettings const& settings, Choice const& choice)
+/** Cost of an engine of another group. A long prompt also delays the streams
+ * there, but costs nothing while the engines for long prompts are overloaded.
+ */
+double OtherGroupCost(gsFleetSettings const& settings,
+                      PlacementContext const& context)
 {
-  bool isLong = choice.Group == gsFleetGroup::Long;
-  if (isLong && choice.Pace != nullptr && gsIsPressed(*choice.Pace)) {
+  bool isLong = context.Group == gsFleetGroup::Long;
+  if (isLong && context.Pace != nullptr &&
+      gsAreLongPromptsUrgent(*context.Pace)) {
     return 0;
   }
-  return settings.OtherGroupTokens + (isLong ? settings.HoldUpTokens : 0);
+  return settings.OtherGroupCost + (isLong ? settings.InterferenceCost : 0);
 }
 
-/** The place of an engine in a subject's own order of all but its home. */
+/** Cost by a hash of engine and subject, which orders the alternatives to the
+ * home differently for each subject. Zero for the home and for engines that
+ * have the subject cached. */
 double SpreadCost(gsFleet const& fleet, gsFleetRow const& row,
-                  gsPlacementAsk const& ask, Choice const& choice,
-                  bool holdsSubject)
+                  gsPlacementRequest const& request,
+                  PlacementContext const& context, bool holdsSubject)
 {
-  bool isHome = &row == choice.Preferred;
-  if (choice.Preferred == nullptr || isHome || holdsSubject) {
+  bool isHome = &row == context.Home;
+  if (context.Home == nullptr || isHome || holdsSubject) {
     return 0;
   }
-  return fleet.Settings.SpreadTokens *
-         (1 - gsRendezvousDraw(row.Listed.Id, gsSubjectOf(ask)));
+  return fleet.Settings.MaxSpreadCost *
+         (1 - gsRendezvousFraction(row.Listed.Id, gsSubjectOf(request)));
 }
 
-/** What an engine costs whose memory would not do: it preempts others. */
-double FullCost(gsFleet const& fleet, gsFleetRow const& row,
-                gsPlacementAsk const& ask, gsTime now)
+/** Cost of exceeding the engine's memory, which makes it preempt other
+ * requests. */
+double MemoryCost(gsFleet const& fleet, gsFleetRow const& row,
+                  gsPlacementRequest const& request, gsTime now)
 {
-  if (ask.UpstreamMemory == 0) {
+  if (request.UpstreamMemoryTokens == 0) {
     return 0;
   }
-  double taken = static_cast<double>(gsWorkAt(fleet, row, now).MemoryTokens +
-                                     ask.PromptTokens + ask.AnswerTokens);
-  double limit =
-    fleet.Settings.MemoryShare * static_cast<double>(ask.UpstreamMemory);
-  return taken <= limit
+  double used =
+    static_cast<double>(gsTotalLoad(fleet, row, now).MemoryTokens +
+                        request.PromptTokens + request.AnswerTokens);
+  double limit = fleet.Settings.MaxMemoryShare *
+                 static_cast<double>(request.UpstreamMemoryTokens);
+  return used <= limit
            ? 0
-           : fleet.Settings.FullTokens + std::max(0.0, taken - limit);
+           : fleet.Settings.MemoryExhaustedCost + std::max(0.0, used - limit);
 }
 
 } // namespace
 
-Choice MakeChoice(gsFleet const& fleet, gsPlacementAsk const& ask)
+PlacementContext MakeContext(gsFleet const& fleet,
+                             gsPlacementRequest const& request)
 {
-  Choice choice;
-  choice.Group = ask.Group;
-  choice.Border = gsLongBorder(fleet, ask.Service);
-  auto demand = fleet.Demand.find(std::string(ask.Service));
+  PlacementContext context;
+  context.Group = request.Group;
+  context.GroupBoundary = gsLastLongEngine(fleet, request.Service);
+  auto demand = fleet.Demand.find(std::string(request.Service));
   if (demand != fleet.Demand.end()) {
-    choice.HoldLong = demand->second.HoldLong;
-    choice.HoldTight = demand->second.HoldTight;
+    context.LongHoldMillis = demand->second.LongHoldMillis;
+    context.TightHoldMillis = demand->second.TightHoldMillis;
   }
-  auto pace = fleet.Paces.find(std::string(ask.Service));
-  choice.Pace = pace == fleet.Paces.end() ? nullptr : &pace->second;
-  return choice;
+  auto pace = fleet.EngineTimings.find(std::string(request.Service));
+  context.Pace = pace == fleet.EngineTimings.end() ? nullptr : &pace->second;
+  return context;
 }
 
-void NoteCandidates(Choice& choice, gsFleet const& fleet,
-                    gsCandidates const& candidates, gsPlacementAsk const& ask,
-                    gsTime now)
+void SetCandidates(PlacementContext& context, gsFleet const& fleet,
+                   gsCandidates const& candidates,
+                   gsPlacementRequest const& request, gsTime now)
 {
-  choice.UsualFailShare = MeanFailShare(fleet, candidates.Rows, now);
-  choice.Preferred = PreferredFor(fleet, candidates.Homes, ask, choice, now);
+  context.MeanFailureShare = MeanOfFailureShares(fleet, candidates.Rows, now);
+  context.Home = FindHome(fleet, candidates.HomeRows, request, context, now);
 }
 
 double TotalCost(gsFleet const& fleet, gsFleetRow const& row,
-                 gsPlacementAsk const& ask, Choice const& choice,
-                 std::uint32_t toRead, gsTime now)
+                 gsPlacementRequest const& request,
+                 PlacementContext const& context, std::uint32_t toRead,
+                 gsTime now)
 {
-  std::uint32_t expected = ExpectedRead(fleet, row, ask, choice, toRead, now);
-  double cost = CostOf(fleet, row, ask, expected, choice.UsualFailShare, now);
-  cost += AgainCost(fleet, row, ask, choice, toRead, now);
-  cost += FullCost(fleet, row, ask, now);
-  cost += MissCost(fleet, row, ask, choice, expected, now);
-  // All engines soon hold the parts that all subjects share; what counts is
-  // whether one holds the subject's own too.
-  bool holds = toRead + gsSharedTokens(ask) <= ask.PromptTokens;
-  cost += SpreadCost(fleet, row, ask, choice, holds);
-  return InGroup(row, choice) ? cost
-                              : cost + OtherGroupCost(fleet.Settings, choice);
+  std::uint32_t expected =
+    ExpectedTokensToRead(fleet, row, request, context, toRead, now);
+  double cost =
+    BaseCost(fleet, row, request, expected, context.MeanFailureShare, now);
+  cost += RereadCost(fleet, row, request, context, toRead, now);
+  cost += MemoryCost(fleet, row, request, now);
+  cost += MissCost(fleet, row, request, context, expected, now);
+  // All engines soon have cached the parts that all subjects share, so only an
+  // engine that has cached all shared parts holds the subject.
+  bool holdsSubject = toRead + gsSharedTokens(request) <= request.PromptTokens;
+  cost += SpreadCost(fleet, row, request, context, holdsSubject);
+  return IsInGroup(row, context)
+           ? cost
+           : cost + OtherGroupCost(fleet.Settings, context);
 }
 
 } // namespace gsPlacementDetail
--- a/Source/Core/gsPlacementCost.h
+++ b/Source/Core/gsPlacementCost.h
@@ -1,9 +1,15 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * What gsPlacement weighs of one upstream: whether it may get a request, and
- * what it costs, in tokens of prompt. Not for others; they include
- * gsPlacement.h.
+ * Implementation details of gsPlacement: whether an upstream is eligible for a
+ * request, and its cost in tokens of prompt. Other files include
+ * gsPlacement.h instead.
+ *
+ * The cost of an upstream is the number of prompt tokens that its engine reads
+ * before the request's first token, plus penalties in the same unit for
+ * running and queued requests, another hall, failures above the mean, shared
+ * parts read more than once, exhausted memory, a missed target, an engine of
+ * another group, and upstreams late in the subject's rendezvous order.
  */
 #pragma once
 
@@ -17,86 +23,111 @@
 
 namespace gsPlacementDetail {
 
-/** Expected first token, as a share of the target, from which on a miss is
- * thought possible. */
-constexpr double MissFrom = 0.7;
+/** Expected time to the first token, as a share of the target, from which on a
+ * missed target is considered possible. */
+constexpr double MinMissShare = 0.7;
 
-/** What all candidates of one choice have in common. */
-struct Choice
+/** The state common to the evaluation of all candidates for one request. */
+struct PlacementContext
 {
-  double UsualFailShare = 0;
-  gsFleetRow const* Preferred = nullptr; ///< Of the request's subject.
-  gsFleetGroup Group = gsFleetGroup::Any;
-  /** Place of the last engine for long prompts; absent for no groups. */
-  std::optional<gsEngineKey> Border;
-  double HoldLong = 0;                ///< See gsDemand.
-  double HoldTight = 0;               ///< See gsDemand.
-  gsEnginePace const* Pace = nullptr; ///< Of the service; null if unknown.
+  double MeanFailureShare = 0; ///< Mean over the candidates.
+  /** Home of the request's subject: the eligible upstream of the request's
+   * group that all hosts prefer for it. Null without a subject. */
+  gsFleetRow const* Home = nullptr;
+  gsFleetGroup Group = gsFleetGroup::Any; ///< Of the request.
+  /** Last engine of the group for long prompts in the service's order; empty
+   * if the engines are not divided into groups. */
+  std::optional<gsEngineKey> GroupBoundary;
+  /** Mean time in milliseconds for which an attempt holds a slot of an engine
+   * for long prompts; see gsDemand. */
+  double LongHoldMillis = 0;
+  /** Mean time in milliseconds for which an attempt holds a slot of any other
+   * engine; see gsDemand. */
+  double TightHoldMillis = 0;
+  gsEngineTiming const* Pace = nullptr; ///< Of the service; null if unknown.
 };
 
-/** Without Preferred, which depends on the candidates. */
-Choice MakeChoice(gsFleet const& fleet, gsPlacementAsk const& ask);
-
-/** Completes a choice: the upstream on which all hosts agree for the request's
- * subject, and what is usual among the candidates. */
-void NoteCandidates(Choice& choice, gsFleet const& fleet,
-                    gsCandidates const& candidates, gsPlacementAsk const& ask,
-                    gsTime now);
-
-bool WasTried(gsPlacementAsk const& ask, gsFleetRow const& row);
-
-/** Whether it lies where the request may be served. */
-bool IsAllowed(gsFleet const& fleet, gsFleetRow const& row,
-               gsPlacementAsk const& ask);
-
-/** Whether it is cold, and this host has used its share of it. */
-bool IsTooCold(gsFleet const& fleet, gsFleetRow const& row,
-               gsPlacementAsk const& ask, gsTime now);
-
-/** Whether it has rested, and it is not this host's turn to come back yet. */
-bool WaitsToReturn(gsFleet const& fleet, gsFleetRow const& row,
-                   gsPlacementAsk const& ask, gsTime now);
-
-/** Whether it may be sent the request at all. */
-bool MayGet(gsFleet const& fleet, gsFleetRow const& row,
-            gsPlacementAsk const& ask, gsTime now);
-
-/** Whether it has no rate limit, or an unreserved token is available. */
+/** Creates a context from the request and its service. Home and
+ * MeanFailureShare are set by SetCandidates. */
+PlacementContext MakeContext(gsFleet const& fleet,
+                             gsPlacementRequest const& request);
+
+/** Sets the members that depend on the candidates: the home of the request's
+ * subject and the mean failure share. */
+void SetCandidates(PlacementContext& context, gsFleet const& fleet,
+                   gsCandidates const& candidates,
+                   gsPlacementRequest const& request, gsTime now);
+
+/** Whether the request has been sent to this incarnation of the upstream
+ * already. */
+bool WasTried(gsPlacementRequest const& request, gsFleetRow const& row);
+
+/** Whether the upstream is in a region where the request may be served. */
+bool IsInAllowedRegion(gsFleet const& fleet, gsFleetRow const& row,
+                       gsPlacementRequest const& request);
+
+/** Whether the upstream is cold, and this host may not send it a request yet
+ * under its share of ColdPerSecond. */
+bool ExceedsColdQuota(gsFleet const& fleet, gsFleetRow const& row,
+                      gsPlacementRequest const& request, gsTime now);
+
+/** Whether the upstream's backoff is over, but this host may not send it
+ * another request yet, because hosts resume at different times. */
+bool MustDelayResumption(gsFleet const& fleet, gsFleetRow const& row,
+                         gsPlacementRequest const& request, gsTime now);
+
+/** Whether the upstream may be sent the request, regardless of its load and
+ * its rate limit. */
+bool IsEligible(gsFleet const& fleet, gsFleetRow const& row,
+                gsPlacementRequest const& request, gsTime now);
+
+/** Whether the upstream has no rate limit, or an unreserved token is
+ * available. */
 bool HasToken(gsFleet const& fleet, gsFleetRow const& row, gsTime now);
 
-/** Whether it has a place that is not kept for more urgent requests. */
-bool HasPlace(gsFleet const& fleet, gsFleetRow const& row,
-              gsPlacementAsk const& ask, gsTime now);
+/** Whether the upstream has a queue place that is not reserved for more urgent
+ * requests. */
+bool HasQueuePlace(gsFleet const& fleet, gsFleetRow const& row,
+                   gsPlacementRequest const& request, gsTime now);
 
-/** Whether it is one of the engines for the request's kind. */
-bool InGroup(gsFleetRow const& row, Choice const& choice);
+/** Whether the engine belongs to the request's group. */
+bool IsInGroup(gsFleetRow const& row, PlacementContext const& context);
 
-/** Whether this host has had all the prompt's shared parts read there. */
-bool HoldsShared(gsFleet const& fleet, gsFleetRow const& row,
-                 gsPlacementAsk const& ask, gsTime now);
+/** Whether the upstream has cached all shared parts of the prompt, as far as
+ * this host's own requests show. */
+bool HoldsSharedParts(gsFleet const& fleet, gsFleetRow const& row,
+                      gsPlacementRequest const& request, gsTime now);
 
 /**
- * Tokens that the upstream will probably read: not those of shared parts that
- * other hosts have had read there, or that another engine can hand over.
+ * Expected number of prompt tokens that the upstream will read, given the
+ * number that it has not cached as far as this host knows. Excludes shared
+ * parts that it has probably read for other hosts or that another engine can
+ * transfer.
  */
-std::uint32_t ExpectedRead(gsFleet const& fleet, gsFleetRow const& row,
-                           gsPlacementAsk const& ask, Choice const& choice,
+std::uint32_t ExpectedTokensToRead(gsFleet const& fleet, gsFleetRow const& row,
+                                   gsPlacementRequest const& request,
+                                   PlacementContext const& context,
+                                   std::uint32_t toRead, gsTime now);
+
+/** Expected time to the first token as a share of the target; 0 if unknown. */
+double ExpectedTargetShare(gsFleet const& fleet, gsFleetRow const& row,
+                           gsPlacementRequest const& request,
+                           PlacementContext const& context,
                            std::uint32_t toRead, gsTime now);
 
-/** Time until the first token, as a share of the target; zero if unknown. */
-double ExpectedShare(gsFleet const& fleet, gsFleetRow const& row,
-                     gsPlacementAsk const& ask, Choice const& choice,
-                     std::uint32_t toRead, gsTime now);
-
-/** What the upstream costs the request and others, in tokens. */
+/** Cost of sending the request to the upstream, in tokens, including the cost
+ * to other requests. */
 double TotalCost(gsFleet const& fleet, gsFleetRow const& row,
-                 gsPlacementAsk const& ask, Choice const& choice,
-                 std::uint32_t toRead, gsTime now);
-
-/** The engine from which the chosen one may take the shared parts. */
-gsFleetRow const* HolderFor(gsFleet const& fleet,
-                            gsCandidates const& candidates,
-                            gsPlacementAsk const& ask, Choice const& choice,
-                            gsFleetRow const& chosen, gsTime now);
+                 gsPlacementRequest const& request,
+                 PlacementContext const& context, std::uint32_t toRead,
+                 gsTime now);
+
+/** Finds the engine from which the chosen one can obtain the shared parts of
+ * the prompt; null if there is none or the chosen one has them. */
+gsFleetRow const* FindTransferSource(gsFleet const& fleet,
+                                     gsCandidates const& candidates,
+                                     gsPlacementRequest const& request,
+                                     PlacementContext const& context,
+                                     gsFleetRow const& chosen, gsTime now);
 
 } // namespace gsPlacementDetail
--- a/Source/Core/gsPool.cxx
+++ b/Source/Core/gsPool.cxx
@@ -9,7 +9,7 @@
 #include "gsHealth.h"
 #include "gsLimit.h"
 
-char const* gsCauseWord(gsRefusalCause cause)
+char const* gsRefusalCauseName(gsRefusalCause cause)
 {
   switch (cause) {
     case gsRefusalCause::QueueFull:
@@ -36,7 +36,7 @@
   return nullptr;
 }
 
-gsTierQueue& gsTierOf(gsPool& pool, std::uint32_t rank)
+gsTierQueue& gsTierQueueOf(gsPool& pool, std::uint32_t rank)
 {
   if (pool.Tiers.size() <= rank) {
     pool.Tiers.resize(rank + 1);
@@ -44,14 +44,14 @@
   return pool.Tiers[rank];
 }
 
-bool gsUsable(gsUpstreamRow const& row)
+bool gsIsUsable(gsUpstreamRow const& row)
 {
   return !row.Leaving && row.Health != gsHealth::Ejected;
 }
 
 std::uint32_t gsFreeSlots(gsUpstreamRow const& row)
 {
-  if (!gsUsable(row)) {
+  if (!gsIsUsable(row)) {
     return 0;
   }
   auto limit = static_cast<std::uint32_t>(row.Limit);
@@ -65,7 +65,7 @@
 {
   double total = 0;
   for (gsUpstreamRow const& row : pool.Upstreams) {
-    if (gsUsable(row)) {
+    if (gsIsUsable(row)) {
       total += std::floor(row.Limit);
     }
   }
@@ -74,10 +74,10 @@
 
 std::uint32_t gsSharedWaiting(gsTierQueue const& tier)
 {
-  return tier.Waiting - static_cast<std::uint32_t>(tier.Reserved.size());
+  return tier.Waiting - static_cast<std::uint32_t>(tier.ReservedIds.size());
 }
 
-std::uint32_t gsWaitingBelow(gsPool const& pool, std::uint32_t rank)
+std::uint32_t gsLowerTierWaiting(gsPool const& pool, std::uint32_t rank)
 {
   std::uint32_t waiting = 0;
   for (std::size_t i = rank + 1; i < pool.Tiers.size(); ++i) {
@@ -86,22 +86,22 @@
   return waiting;
 }
 
-std::uint64_t gsGrantedBelow(gsPool const& pool, std::uint32_t rank)
+std::uint64_t gsLowerTierGrants(gsPool const& pool, std::uint32_t rank)
 {
   std::uint64_t granted = 0;
   for (std::size_t i = rank + 1; i < pool.Tiers.size(); ++i) {
-    granted += pool.Tiers[i].Granted;
+    granted += pool.Tiers[i].SharedGrants;
   }
   return granted;
 }
 
 void gsPoolTick(gsPool& pool, gsTime now, gsPoolOutput& out)
 {
-  gsReturnEjected(pool, now, out);
+  gsProbeEjected(pool, now, out);
   gsEjectOutliers(pool, now, out);
   gsAdjustLimits(pool, now);
   gsExpireWaiting(pool, now, out);
-  gsReserveAged(pool, now);
+  gsReserveAgedRequests(pool, now);
   gsDispatchShared(pool, now, out);
   gsDispatchReserved(pool, now, out);
   gsShedExcess(pool, now, out);
--- a/Source/Core/gsPool.h
+++ b/Source/Core/gsPool.h
@@ -2,9 +2,16 @@
 /**
  * \file
  * A pool: the upstreams of one hall that serve one service, and the one queue
- * in front of them. Its state is plain tables; the systems that run over them
- * each tick are declared in gsAdmit.h, gsOrder.h, gsDispatch.h, gsLimit.h and
- * gsHealth.h. Nothing here reads a clock or does I/O.
+ * in front of them. One host, the pool's dispatcher, holds its state, which is
+ * plain tables. gsPoolTick runs the systems over them that gsAdmit.h,
+ * gsDispatch.h, gsLimit.h and gsHealth.h declare: admission and load shedding,
+ * grants of upstreams to waiting requests, adaptive concurrency limits, and
+ * ejection of failing upstreams.
+ *
+ * QueueLimit bounds the waiting requests, and the limit of each upstream its
+ * running ones; a small number of reserved slots exists in addition, for
+ * requests of lower tiers that have waited too long. Callers pass in the
+ * current time and carry out the returned decisions. Nothing here does I/O.
  */
 #pragma once
 
@@ -19,8 +26,9 @@
 #include "gsEstimate.h"
 #include "gsTypes.h"
 
-/** A request as its pool's dispatcher sees it; the body stays behind. */
-struct gsAsk
+/** A request as sent to its pool's dispatcher. The entry host keeps the body.
+ */
+struct gsGrantRequest
 {
   gsRequestId Id;
   std::string Pool;
@@ -29,51 +37,55 @@
   std::uint32_t Tier = 0; ///< Rank; 0 is the highest.
   double Weight = 1.0;    ///< The organisation's share within the tier.
   std::uint32_t PromptTokens = 0;
-  gsTime Waited{};  ///< Time spent waiting before this ask.
-  gsTime MaxWait{}; ///< Total wait after which the request is given up.
-  std::uint64_t Affinity = 0; ///< Hash of the shared context; 0 for none.
-  gsTime FirstToken{};        ///< Target.
-  gsTime TokenGap{};          ///< Target.
-  std::string Avoid;          ///< An upstream that just failed this request.
-  bool Force = false;         ///< Queue it even if not the dispatcher.
-  /** Queue it even while all upstreams are ejected. */
-  bool Patient = false;
+  gsTime PriorWaitTime{}; ///< Time waited before this message.
+  gsTime MaxWait{};       ///< Total waiting time after which it is refused.
+  std::uint64_t AffinityHash = 0; ///< Hash of the shared context; 0 for none.
+  gsTime FirstTokenTarget{};      ///< Target time to the first token.
+  gsTime TokenIntervalTarget{};   ///< Target interval between tokens.
+  /** Upstream at which this request has just failed; used only if no other
+   * is available. Empty for none. */
+  std::string AvoidUpstream;
+  /** The receiver queues the request even if it is not the dispatcher. */
+  bool ForceQueue = false;
+  /** Queue the request even while all upstreams are ejected. */
+  bool WaitWhileEjected = false;
 };
 
+/** State of an upstream; see gsHealth.h. */
 enum class gsHealth
 {
-  Healthy,
-  Ejected, ///< Gets nothing until RetryAt.
-  Probing  ///< Gets one request at a time until one succeeds.
+  Healthy, ///< Receives requests up to its limit.
+  Ejected, ///< Receives no requests until RetryAt.
+  Probing  ///< Receives one request at a time until one succeeds.
 };
 
-/** How a grant ended, as the entry host reports it. */
-enum class gsOutcome : std::uint32_t
+/** How a grant ended, as reported by the entry host. */
+enum class gsGrantOutcome : std::uint32_t
 {
-  Whole = 0,   ///< A whole answer.
-  Unused = 1,  ///< The grant was not used.
-  Refused = 2, ///< The upstream did not accept the connection.
-  Failed = 3,  ///< Error answer, or the connection broke.
-  Stalled = 4, ///< No progress within the limit.
-  Left = 5     ///< The caller left.
+  Completed = 0,         ///< The upstream sent a complete answer.
+  Unused = 1,            ///< The grant was not used.
+  ConnectionRefused = 2, ///< The upstream did not accept the connection.
+  Failed = 3,  ///< The upstream sent an error, or the connection broke.
+  Stalled = 4, ///< The upstream made no progress within the timeout.
+  CallerDisconnected = 5 ///< The caller disconnected.
 };
 
 /** Measurements of one grant. */
-struct gsMeasured
+struct gsGrantMeasurements
 {
   std::uint64_t Tokens = 0;
-  gsTime FirstToken{}; ///< From send to first byte of the answer.
-  gsTime TokenGap{};   ///< Mean time between tokens.
-  gsTime Duration{};   ///< From send to end.
+  gsTime TimeToFirstToken{}; ///< From sending to the first byte of the answer.
+  gsTime TokenInterval{};    ///< Mean interval between tokens.
+  gsTime Duration{};         ///< From sending to the end.
 };
 
 /** Measurements of one tier in the current window of an upstream. */
-struct gsLateCount
+struct gsLatencyWindow
 {
   std::uint32_t Samples = 0;
-  std::uint32_t Late = 0;
-  std::uint32_t Gaps = 0;
-  double GapSum = 0; ///< Of token gap over target.
+  std::uint32_t LateSamples = 0;     ///< Samples that missed their target.
+  std::uint32_t IntervalSamples = 0; ///< Samples with a token interval.
+  double IntervalRatioSum = 0;       ///< Sum of token interval over target.
 };
 
 /** An upstream in the dispatcher's table. */
@@ -81,42 +93,51 @@
 {
   std::string Name;
   std::string Address;
-  std::string Incarnation; ///< As its load report says.
-  bool Leaving = false;    ///< One-way for the upstream's incarnation.
-  bool Adaptive = true;
-  double Limit = 8;
-  double MaxLimit = 64;
-  std::uint32_t Running = 0;  ///< Under the limit; always exact.
-  std::uint32_t Reserved = 0; ///< On reserved slots, above the limit.
+  std::string Incarnation; ///< From its load report.
+  /** It receives no new requests. Never reset for the same incarnation. */
+  bool Leaving = false;
+  bool Adaptive = true;      ///< The limit is adjusted; see gsLimit.h.
+  double Limit = 8;          ///< Concurrent requests on shared slots.
+  double MaxLimit = 64;      ///< Upper bound of an adaptive limit.
+  std::uint32_t Running = 0; ///< Requests on shared slots; an exact count.
+  std::uint32_t RunningReserved =
+    0; ///< Requests on reserved slots, above the limit.
   gsHealth Health = gsHealth::Healthy;
-  gsTime RetryAt{};
-  std::uint32_t Ejections = 0;       ///< In a row; doubles the back-off.
-  std::uint32_t Failures = 0;        ///< In a row.
-  std::uint32_t UnansweredPolls = 0; ///< In a row.
-  /** Ejected for not being reachable: the next answered poll ends that. */
-  bool Unreachable = false;
-  // The current window of the limit system.
-  gsTime WindowStart{};
-  std::vector<gsLateCount> Late; ///< By tier.
-  bool Saturated = false;
-  double Gap = 0; ///< Smoothed token gap over target.
-  /** Queue that the upstream itself reported, and when. */
+  gsTime RetryAt{}; ///< When an ejected upstream is probed.
+  std::uint32_t ConsecutiveEjections =
+    0;                                   ///< Consecutive; doubles the backoff.
+  std::uint32_t ConsecutiveFailures = 0; ///< Consecutive.
+  std::uint32_t UnansweredPolls = 0;     ///< Consecutive.
+  /** Ejected because it could not be reached; the next answered poll ends the
+   * ejection. */
+  bool EjectedAsUnreachable = false;
+  gsTime WindowStart{}; ///< Start of the limit's current window.
+  std::vector<gsLatencyWindow>
+    LatencyByTier; ///< Measurements of the window, by tier.
+  /** All its slots were in use in the window while requests waited. */
+  bool WasSaturated = false;
+  /** Smoothed ratio of token interval to target; 0 without a sample. */
+  double TokenIntervalRatio = 0;
+  /** Queue length in the upstream's last load report. */
   std::uint32_t ReportedWaiting = 0;
 };
 
+/** A request in the queue. */
 struct gsWaitingRow
 {
-  gsAsk Ask;
-  gsTime Arrived;  ///< When the request first began to wait.
-  gsTime Deadline; ///< Arrived plus the longest wait.
-  std::uint64_t Link = 0;
-  std::uint64_t Order = 0; ///< Rises with each ask of the pool.
-  /** Keeps a reserved slot's turn; never counts as shared queue. */
-  bool Reserved = false;
-  /** Grants to lower tiers on shared slots since it began to wait. */
-  std::uint64_t LowerGrantsBefore = 0;
+  gsGrantRequest Request;
+  gsTime ArrivedAt;           ///< When the request first began to wait.
+  gsTime Deadline;            ///< ArrivedAt plus MaxWait.
+  std::uint64_t Link = 0;     ///< Connection to its entry host.
+  std::uint64_t Sequence = 0; ///< Incremented for each request of the pool.
+  /** The request waits for a reserved slot. Such requests are not counted in
+   * the shared queue and are not shed. */
+  bool HasReservedTurn = false;
+  /** Grants to lower tiers on shared slots before this request was queued. */
+  std::uint64_t LowerTierGrantsAtArrival = 0;
 };
 
+/** A request with a grant that has not been released. */
 struct gsRunningRow
 {
   std::string Upstream;
@@ -124,58 +145,76 @@
   std::string Template;
   std::uint32_t Tier = 0;
   double Weight = 1.0;
-  double Estimate = 0; ///< Tokens charged at dispatch.
-  bool Reserved = false;
-  std::uint64_t Link = 0;
-  gsTime Started{};
+  double EstimatedTokens = 0; ///< Tokens charged at dispatch.
+  bool OnReservedSlot = false;
+  std::uint64_t Link = 0; ///< Connection to its entry host.
+  gsTime StartedAt{};
   gsTime FirstTokenTarget{};
-  gsTime GapTarget{};
+  gsTime TokenIntervalTarget{};
 };
 
-/** Waiting requests of one organisation in one tier, oldest first. */
+/** Waiting requests of one organisation in one tier. Both lists are in order
+ * of arrival and may contain ids that are no longer in gsPool::Waiting. */
 struct gsOrganisationQueue
 {
-  double Service = 0; ///< Weighted tokens served, the fair-queue clock.
-  // Ids not in the waiting table any more are skipped.
-  std::deque<gsRequestId> Ids;  ///< Those that can still be in target.
-  std::deque<gsRequestId> Late; ///< Those that cannot; served after Ids.
-  std::uint32_t Waiting = 0;    ///< Of both, those still waiting.
+  double WeightedService =
+    0; ///< Tokens served, divided by weight: its virtual time.
+  std::deque<gsRequestId>
+    InTargetIds; ///< Requests not known to miss their target.
+  std::deque<gsRequestId>
+    LateIds;                 ///< Will miss their target; served after them.
+  std::uint32_t Waiting = 0; ///< Requests of both lists still waiting.
 };
 
+/** Waiting requests and counters of one tier. */
 struct gsTierQueue
 {
   std::map<std::string, gsOrganisationQueue> Organisations;
-  double Clock = 0; ///< Service of the organisation last served.
-  std::uint32_t Waiting = 0;
-  /** Of those waiting, the ones with a reserved turn; only a few. */
-  std::vector<gsRequestId> Reserved;
-  std::uint64_t Granted = 0; ///< Grants on shared slots so far.
-  std::uint32_t Running = 0; ///< On shared slots.
-  /** Recent most of running and waiting together; decays. */
-  double Peak = 0;
+  /** Virtual time: WeightedService of the organisation last granted a shared
+   * slot. */
+  double VirtualTime = 0;
+  std::uint32_t Waiting = 0; ///< Including requests with a reserved turn.
+  /** Waiting requests with a reserved turn; at most MaxReservedTurns. */
+  std::vector<gsRequestId> ReservedIds;
+  std::uint64_t SharedGrants = 0; ///< Total grants on shared slots.
+  std::uint32_t Running = 0;      ///< Requests on shared slots.
+  /** Recent maximum of running plus waiting requests; decays exponentially
+   * with HeadroomDecayTime. */
+  double PeakDemand = 0;
+  /** Waiting time after which a request may get a reserved turn. */
   gsTime AgeLimit = gsSeconds(5);
 };
 
-/** Limits of a pool; see docs/OPERATIONS.md for what each means. */
+/** Limits of a pool; see docs/OPERATIONS.md for the configurable ones. */
 struct gsPoolSettings
 {
-  std::uint32_t QueueLimit = 1000;
-  std::uint32_t ReservedPerTier = 4;
-  double ReservedShare = 0.05;
-  gsTime LimitWindow = gsMilliseconds(250);
-  double LateShare = 0.05;
-  std::uint32_t EjectAfter = 3;
-  gsTime EjectBase = gsSeconds(1);
-  gsTime EjectMax = gsSeconds(60);
+  std::uint32_t QueueLimit = 1000; ///< Maximum number of waiting requests.
+  /** Maximum number of requests of a tier that wait for a reserved slot. */
+  std::uint32_t MaxReservedTurns = 4;
+  /** Reserved slots as a share of the sum of all limits; at least one. */
+  double ReservedSlotShare = 0.05;
+  gsTime LimitWindow = gsMilliseconds(250); ///< Minimum window of a limit.
+  /** Share of late samples above which a limit is lowered. */
+  double MaxLateShare = 0.05;
+  /** Number of consecutive failures after which an upstream is ejected. */
+  std::uint32_t EjectAfterFailures = 3;
+  gsTime EjectBackoff = gsSeconds(1);     ///< Initial ejection backoff.
+  gsTime MaxEjectBackoff = gsSeconds(60); ///< Maximum ejection backoff.
+  /** Ratio to the median token interval above which an upstream is ejected. */
   double OutlierFactor = 3.0;
-  double AffinityLoad = 1.25;
-  gsTime StartWithin = gsSeconds(2);
-  bool Affinity = true;
-  /** Serve first what can still be in target, within an organisation. */
-  bool InTargetFirst = true;
-  /** Most of all slots that lower tiers leave free for higher ones. */
-  double HeadroomMost = 0.25;
-  gsTime HeadroomMemory = gsSeconds(200);
+  /** Load of the preferred upstream, relative to the mean, up to which
+   * requests with a shared context are sent there. */
+  double MaxAffinityLoad = 1.25;
+  /** Time after a grant within which the entry host has to use it. */
+  gsTime StartTimeout = gsSeconds(2);
+  bool UseAffinity = true; ///< Send requests with a shared context together.
+  /** Within an organisation, serve requests that can still meet their target
+   * before those that cannot. */
+  bool ServeInTargetFirst = true;
+  /** Maximum share of all slots that lower tiers leave free for higher ones.
+   */
+  double MaxHeadroomShare = 0.25;
+  gsTime HeadroomDecayTime = gsSeconds(200); ///< Time constant of PeakDemand.
 };
 
 /** The tables of one pool. */
@@ -188,60 +227,63 @@
   std::unordered_map<gsRequestId, gsWaitingRow, gsRequestIdHash> Waiting;
   std::unordered_map<gsRequestId, gsRunningRow, gsRequestIdHash> Running;
   gsEstimates Estimates;
-  std::uint64_t NextOrder = 1;
-  std::uint32_t NextReservedTier = 0;
-  gsTime LastShed{};
-  gsTime LastPeaks{};
-  gsTime LastReserve{};
-  gsTime LastExpiry{};
+  std::uint64_t NextSequence = 1;
+  std::uint32_t NextReservedTier = 0; ///< Round-robin position, modulo tiers.
+  gsTime LastShedAt{};                ///< Last run of gsShedInfeasible.
+  gsTime PeaksUpdatedAt{};            ///< Last update of PeakDemand.
+  gsTime LastReserveAt{};             ///< Last run of gsReserveAgedRequests.
+  gsTime LastExpiryAt{};              ///< Last run of gsExpireWaiting.
 };
 
 /** Why a request was refused. */
 enum class gsRefusalCause
 {
   QueueFull,
-  Infeasible, ///< It would wait longer than it may.
-  Expired,    ///< It did wait as long as it may.
-  NoUpstream, ///< The pool has no upstream that could serve it.
-  AllEjected, ///< It has some, and all are ejected for now.
+  Infeasible, ///< Its expected wait exceeds the time it has left.
+  Expired,    ///< It has waited for MaxWait.
+  NoUpstream, ///< All upstreams of the pool are leaving, or it has none.
+  AllEjected, ///< All upstreams that are not leaving are ejected.
 };
 
-char const* gsCauseWord(gsRefusalCause cause);
+/** Name of the cause on the wire, in logs and in metrics. */
+char const* gsRefusalCauseName(gsRefusalCause cause);
 
+/** Permission for an entry host to send one request to one upstream. */
 struct gsGrant
 {
   gsRequestId Id;
-  std::uint64_t Link = 0;
+  std::uint64_t Link = 0; ///< Connection to the entry host.
   std::string Pool;
   std::string Upstream;
   std::string Address;
-  std::string Incarnation; ///< Of the upstream, as far as known.
-  gsTime StartWithin{};
-  // For the decision log.
+  std::string Incarnation; ///< Of the upstream; empty if unknown.
+  gsTime StartTimeout{};   ///< After which the grant may not be used.
+  // The remaining members are for the decision log.
   std::uint32_t Tier = 0;
   std::string Organisation;
-  gsTime Waited{};
-  bool Reserved = false;
-  std::string Candidates;
+  gsTime WaitTime{};
+  bool OnReservedSlot = false;
+  std::string Candidates; ///< Usable upstreams with their load.
   char const* Cause = "";
 };
 
+/** Refusal of a request, before or after it was queued. */
 struct gsRefusal
 {
   gsRequestId Id;
-  std::uint64_t Link = 0;
+  std::uint64_t Link = 0; ///< Connection to the entry host.
   std::string Pool;
   gsRefusalCause Cause = gsRefusalCause::QueueFull;
-  gsTime RetryAfter{};
-  // For the decision log.
+  gsTime RetryAfter{}; ///< Suggested to the caller.
+  // The remaining members are for the decision log.
   std::uint32_t Tier = 0;
   std::string Organisation;
   std::string Template;
-  gsTime Waited{};
-  /** Lower-tier requests in the shared queue at that moment. */
-  std::uint32_t LowerWaiting = 0;
-  /** Lower-tier grants on shared slots while it waited. */
-  std::uint64_t LowerGranted = 0;
+  gsTime WaitTime{};
+  /** Lower-tier requests in the shared queue at the time of refusal. */
+  std::uint32_t LowerTierWaiting = 0;
+  /** Lower-tier grants on shared slots while the request waited. */
+  std::uint64_t LowerTierGrants = 0;
 };
 
 /** A change of an upstream's state, for the log. */
@@ -252,7 +294,7 @@
   std::string Detail;
 };
 
-/** What a tick decided; the caller carries it out. */
+/** Decisions of a tick, for the caller to carry out. */
 struct gsPoolOutput
 {
   std::vector<gsGrant> Grants;
@@ -260,29 +302,31 @@
   std::vector<gsUpstreamEvent> Events;
 };
 
-/** Finds an upstream's row by name. */
+/** Finds an upstream's row by name; null if there is none. */
 gsUpstreamRow* gsFindUpstream(gsPool& pool, std::string_view name);
 
-/** The tier's queue, made when it is first needed. */
-gsTierQueue& gsTierOf(gsPool& pool, std::uint32_t rank);
+/** The tier's queue, created on first use. */
+gsTierQueue& gsTierQueueOf(gsPool& pool, std::uint32_t rank);
 
-/** Whether the upstream may get any request now. */
-bool gsUsable(gsUpstreamRow const& row);
+/** Whether the upstream may receive requests: it is neither leaving nor
+ * ejected. */
+bool gsIsUsable(gsUpstreamRow const& row);
 
-/** Slots of the shared kind that are free on this upstream. */
+/** Number of free shared slots of an upstream; reserved slots do not count. */
 std::uint32_t gsFreeSlots(gsUpstreamRow const& row);
 
 /** Sum of the limits of all usable upstreams. */
 double gsTotalLimit(gsPool const& pool);
 
-/** Requests of the tier in the shared queue: without reserved turns. */
+/** Number of requests of a tier in the shared queue, that is, without a
+ * reserved turn. */
 std::uint32_t gsSharedWaiting(gsTierQueue const& tier);
 
-/** Requests of the shared queue in tiers below (after) the given rank. */
-std::uint32_t gsWaitingBelow(gsPool const& pool, std::uint32_t rank);
+/** Number of requests in the shared queue in tiers below the given rank. */
+std::uint32_t gsLowerTierWaiting(gsPool const& pool, std::uint32_t rank);
 
-/** Grants on shared slots to tiers below the given rank, so far. */
-std::uint64_t gsGrantedBelow(gsPool const& pool, std::uint32_t rank);
+/** Total number of grants on shared slots to tiers below the given rank. */
+std::uint64_t gsLowerTierGrants(gsPool const& pool, std::uint32_t rank);
 
-/** Runs all systems once. Out is appended to. */
+/** Runs all systems once and appends their decisions to the output. */
 void gsPoolTick(gsPool& pool, gsTime now, gsPoolOutput& out);
--- a/Source/Core/gsRetry.cxx
+++ b/Source/Core/gsRetry.cxx
@@ -9,59 +9,63 @@
 
 namespace {
 
-/** Requests count towards what may be saved for about so long, which is
- * shorter than the windows over which repeats are judged, 10 s. */
-constexpr gsTime RecentMemory = gsSeconds(5);
+/** Time constant with which recent requests decay. Shorter than the windows of
+ * 10 s over which the share of retries is assessed. */
+constexpr gsTime RecentDecayTime = gsSeconds(5);
 
 } // namespace
 
-double gsShareOfRepeats(double ofAll, std::size_t hosts, std::string_view host)
+double gsRetryBurstOfHost(double ofAll, std::size_t hosts,
+                          std::string_view host)
 {
-  double each = ofAll / static_cast<double>(std::max<std::size_t>(1, hosts));
-  if (each >= 1) {
-    return each;
+  double share = ofAll / static_cast<double>(std::max<std::size_t>(1, hosts));
+  if (share >= 1) {
+    return share;
   }
-  constexpr double most =
+  constexpr double max =
     static_cast<double>(std::numeric_limits<std::uint64_t>::max());
-  bool has = static_cast<double>(gsHashText(host)) / most < each;
-  return has ? 1 : 0;
+  bool isSelected = static_cast<double>(gsHashText(host)) / max < share;
+  return isSelected ? 1 : 0;
 }
 
-void gsRetryEarn(gsRetryBudget& budget, gsTime now)
+void gsEarnRetry(gsRetryBudget& budget, gsTime now)
 {
-  double ages = gsToSeconds(now - budget.RecentAt) / gsToSeconds(RecentMemory);
-  budget.Recent = 1 + budget.Recent * std::exp(-std::max(0.0, ages));
-  budget.RecentAt = now;
-  double most = budget.Most + budget.Share * budget.Recent;
-  budget.Saved = std::min(most, budget.Saved + budget.Share);
+  double elapsed =
+    gsToSeconds(now - budget.RecentUpdatedAt) / gsToSeconds(RecentDecayTime);
+  budget.RecentRequests =
+    1 + budget.RecentRequests * std::exp(-std::max(0.0, elapsed));
+  budget.RecentUpdatedAt = now;
+  double limit = budget.Burst + budget.RetryShare * budget.RecentRequests;
+  budget.Available = std::min(limit, budget.Available + budget.RetryShare);
 }
 
-void gsRetryEarn(gsRetryBudget& budget)
+void gsEarnRetry(gsRetryBudget& budget)
 {
-  budget.Saved = std::min(budget.Most, budget.Saved + budget.Share);
+  budget.Available =
+    std::min(budget.Burst, budget.Available + budget.RetryShare);
 }
 
-bool gsRetrySpend(gsRetryBudget& budget)
+bool gsSpendRetry(gsRetryBudget& budget)
 {
-  if (budget.Saved < 1) {
+  if (budget.Available < 1) {
     return false;
   }
-  budget.Saved -= 1;
+  budget.Available -= 1;
   return true;
 }
 
-gsAfterFailure gsDecideAfterFailure(gsFailedAttempt const& attempt,
-                                    gsRetryBudget& budget)
+gsRetryDecision gsDecideRetry(gsFailedAttempt const& attempt,
+                              gsRetryBudget& budget)
 {
-  if (attempt.CallerHasBytes || attempt.Attempts >= gsMaxAttempts ||
+  if (attempt.ResponseStarted || attempt.Attempts >= gsMaxAttempts ||
       attempt.Now >= attempt.Deadline) {
-    return gsAfterFailure::GiveUp;
+    return gsRetryDecision::GiveUp;
   }
-  if (attempt.Ran == gsRan::No) {
-    return gsAfterFailure::Retry;
+  if (attempt.Executed == gsExecuted::No) {
+    return gsRetryDecision::Retry;
   }
-  if (!attempt.Repeatable || !gsRetrySpend(budget)) {
-    return gsAfterFailure::GiveUp;
+  if (!attempt.IsRepeatable || !gsSpendRetry(budget)) {
+    return gsRetryDecision::GiveUp;
   }
-  return gsAfterFailure::Retry;
+  return gsRetryDecision::Retry;
 }
--- a/Source/Core/gsRetry.h
+++ b/Source/Core/gsRetry.h
@@ -1,8 +1,11 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * What to do after an attempt to have a request served has failed, and how
- * much may be spent on repeating work.
+ * The decision whether a failed attempt is retried, and the budget that bounds
+ * retries of attempts that an upstream may have run. Such retries are bounded
+ * by a share of the requests plus a burst; retries of attempts that never
+ * reached an upstream repeat no work and cost nothing. Callers pass in the
+ * current time.
  */
 #pragma once
 
@@ -12,60 +15,63 @@
 
 #include "gsTypes.h"
 
-/**
- * Bounds repeated work to a share of recent work. Only attempts that may have
- * run spend from it; trying elsewhere what was never sent is free.
- */
+/** A token bucket of retries. Each request adds RetryShare to it, and each
+ * retry of an attempt that may have run consumes 1. */
 struct gsRetryBudget
 {
-  double Share = 0.1; ///< Repeats a request.
-  double Most = 10;   ///< Repeats that may be saved up.
-  double Saved = 10;
-  double Recent = 0; ///< Requests of the last seconds; decays.
-  gsTime RecentAt{};
+  double RetryShare = 0.1; ///< Retries earned per request.
+  double Burst = 10;       ///< Maximum number of retries available at once.
+  double Available = 10;   ///< Retries available now.
+  /** Exponentially decaying number of recent requests. */
+  double RecentRequests = 0;
+  gsTime RecentUpdatedAt{}; ///< When RecentRequests was updated.
 };
 
 /**
- * Repeats that one host may save up of those that all hosts may together. A
- * share below one goes whole to as many hosts as there are repeats, by a hash;
- * the others have only what their own requests earn.
+ * The burst of one host, given the burst of all hosts combined. If an equal
+ * share is below one, a hash of the host's name selects about as many hosts as
+ * there are retries, which have a burst of one; the others have only the
+ * retries that their own requests earn.
  */
-double gsShareOfRepeats(double ofAll, std::size_t hosts,
-                        std::string_view host);
+double gsRetryBurstOfHost(double ofAll, std::size_t hosts,
+                          std::string_view host);
 
-/** Counts a new request. */
-void gsRetryEarn(gsRetryBudget& budget);
+/** Adds the retries that a new request earns. */
+void gsEarnRetry(gsRetryBudget& budget);
 
 /**
- * The same for a budget of many hosts. What a host's requests of the last
- * seconds earn may be saved up beside Most, so that a host whose share is
- * below one still repeats as soon as it has ten requests in some seconds.
+ * Adds the retries that a new request earns, to a budget that is divided among
+ * many hosts. RetryShare of the recent requests may be saved in addition to
+ * the burst, so that a host whose burst is below one can retry as soon as it
+ * has had ten requests within a few seconds.
  */
-void gsRetryEarn(gsRetryBudget& budget, gsTime now);
+void gsEarnRetry(gsRetryBudget& budget, gsTime now);
 
-/** Takes one repeat; false when there is none. */
-bool gsRetrySpend(gsRetryBudget& budget);
+/** Consumes one retry. \return False if none is available. */
+bool gsSpendRetry(gsRetryBudget& budget);
 
-/** An attempt that has failed. */
+/** A failed attempt to have a request served. */
 struct gsFailedAttempt
 {
-  gsRan Ran = gsRan::No;
-  bool Repeatable = true;
-  bool CallerHasBytes = false;
-  std::uint32_t Attempts = 1; ///< Made so far, this one included.
+  gsExecuted Executed =
+    gsExecuted::No;             ///< Whether an upstream may have run it.
+  bool IsRepeatable = true;     ///< The request may be run more than once.
+  bool ResponseStarted = false; ///< Part of an answer was sent to the caller.
+  std::uint32_t Attempts = 1;   ///< Attempts so far, including this one.
   gsTime Now{};
-  gsTime Deadline{}; ///< After it the request is given up.
+  gsTime Deadline{}; ///< From then on the request is not retried.
 };
 
-enum class gsAfterFailure
+enum class gsRetryDecision
 {
   Retry,
   GiveUp
 };
 
-/** Most attempts of one request. */
+/** Maximum number of attempts of one request. */
 constexpr std::uint32_t gsMaxAttempts = 5;
 
-/** Decides whether to try again; may spend from the budget. */
-gsAfterFailure gsDecideAfterFailure(gsFailedAttempt const& attempt,
-                                    gsRetryBudget& budget);
+/** Decides whether to retry a failed attempt. Consumes a retry of the budget
+ * if an upstream may have run the attempt and it is retried. */
+gsRetryDecision gsDecideRetry(gsFailedAttempt const& attempt,
+                              gsRetryBudget& budget);
--- a/Source/Core/gsRouteTable.cxx
+++ b/Source/Core/gsRouteTable.cxx
@@ -18,46 +18,49 @@
   return key;
 }
 
-std::string HostWithoutPort(std::string_view host)
+/** The host in lower case, without its port. */
+std::string NormalizeHost(std::string_view host)
 {
-  std::string plain(host.substr(0, host.find(':')));
-  std::transform(plain.begin(), plain.end(), plain.begin(),
+  std::string name(host.substr(0, host.find(':')));
+  std::transform(name.begin(), name.end(), name.begin(),
                  [](unsigned char c) { return std::tolower(c); });
-  return plain;
+  return name;
 }
 
-/** Of an organisation that has none. */
+/** Priority of organisations without one, and of anonymous requests. */
 constexpr std::uint32_t LowestPriority =
   std::numeric_limits<std::uint32_t>::max();
 
-bool IsShorter(gsTime target, gsTime than)
+/** Whether a target is stricter than another; zero means no target. */
+bool IsStricter(gsTime target, gsTime other)
 {
-  bool limits = target.count() > 0;
-  return limits && (than.count() == 0 || target < than);
+  bool hasTarget = target.count() > 0;
+  return hasTarget && (other.count() == 0 || target < other);
 }
 
-void FindTightestTargets(gsRouteTable& table)
+void SetMinIntervalTargets(gsRouteTable& table)
 {
-  std::unordered_map<std::string, gsTime> tightest;
+  std::unordered_map<std::string, gsTime> minimums;
   for (gsRoute const& route : table.Routes) {
     for (gsRouteShare const& share : route.Shares) {
-      gsTime& least = tightest[share.Service];
-      bool counts = route.Events && IsShorter(route.GapTarget, least);
-      least = counts ? route.GapTarget : least;
+      gsTime& minimum = minimums[share.Service];
+      bool isStricter =
+        route.StreamsEvents && IsStricter(route.EventIntervalTarget, minimum);
+      minimum = isStricter ? route.EventIntervalTarget : minimum;
     }
   }
   for (gsRoute& route : table.Routes) {
-    route.TightestGapTarget = gsTime{};
+    route.MinEventIntervalTarget = gsTime{};
     for (gsRouteShare const& share : route.Shares) {
-      gsTime least = tightest[share.Service];
-      if (IsShorter(least, route.TightestGapTarget)) {
-        route.TightestGapTarget = least;
+      gsTime minimum = minimums[share.Service];
+      if (IsStricter(minimum, route.MinEventIntervalTarget)) {
+        route.MinEventIntervalTarget = minimum;
       }
     }
   }
 }
 
-void FindKinds(gsRouteTable& table)
+void CollectPriorities(gsRouteTable& table)
 {
   std::unordered_map<std::string, std::set<std::uint32_t>> priorities;
   for (gsRoute const& route : table.Routes) {
@@ -65,13 +68,13 @@
       priorities[share.Service].insert(route.Priority);
     }
   }
-  table.KindsOf.clear();
-  for (auto const& [service, all] : priorities) {
-    table.KindsOf[service].assign(all.begin(), all.end());
+  table.PrioritiesByService.clear();
+  for (auto const& [service, values] : priorities) {
+    table.PrioritiesByService[service].assign(values.begin(), values.end());
   }
 }
 
-void RankUrgencies(gsRouteTable& table)
+void CollectPriorityPairs(gsRouteTable& table)
 {
   std::set<std::pair<std::uint32_t, std::uint32_t>> pairs;
   for (gsRoute const& route : table.Routes) {
@@ -81,7 +84,7 @@
                     organisation.Priority.value_or(LowestPriority));
     }
   }
-  table.Urgencies.assign(pairs.begin(), pairs.end());
+  table.PriorityPairs.assign(pairs.begin(), pairs.end());
 }
 
 } // namespace
@@ -103,46 +106,48 @@
   for (std::size_t i = 0; i < table.Services.size(); ++i) {
     table.ServiceIndex[table.Services[i].Name] = i;
   }
-  FindTightestTargets(table);
-  FindKinds(table);
-  RankUrgencies(table);
+  SetMinIntervalTargets(table);
+  CollectPriorities(table);
+  CollectPriorityPairs(table);
 }
 
-std::uint32_t gsUrgencyOf(gsRouteTable const& table, gsRoute const& route,
-                          gsRouteOrganisation const* organisation)
+std::uint32_t gsRequestUrgency(gsRouteTable const& table, gsRoute const& route,
+                               gsRouteOrganisation const* organisation)
 {
-  std::uint32_t second = LowestPriority;
+  std::uint32_t organisationPriority = LowestPriority;
   if (organisation != nullptr) {
-    second = organisation->Priority.value_or(LowestPriority);
+    organisationPriority = organisation->Priority.value_or(LowestPriority);
   }
-  auto place = std::lower_bound(table.Urgencies.begin(), table.Urgencies.end(),
-                                std::make_pair(route.Priority, second));
-  return static_cast<std::uint32_t>(place - table.Urgencies.begin());
+  auto position =
+    std::lower_bound(table.PriorityPairs.begin(), table.PriorityPairs.end(),
+                     std::make_pair(route.Priority, organisationPriority));
+  return static_cast<std::uint32_t>(position - table.PriorityPairs.begin());
 }
 
-std::uint32_t gsMoreUrgentKinds(gsRouteTable const& table,
-                                std::string const& service,
-                                gsRoute const& route)
+std::uint32_t gsCountHigherPriorities(gsRouteTable const& table,
+                                      std::string const& service,
+                                      gsRoute const& route)
 {
-  auto kinds = table.KindsOf.find(service);
-  if (kinds == table.KindsOf.end()) {
+  auto priorities = table.PrioritiesByService.find(service);
+  if (priorities == table.PrioritiesByService.end()) {
     return 0;
   }
-  auto own = std::lower_bound(kinds->second.begin(), kinds->second.end(),
-                              route.Priority);
-  return static_cast<std::uint32_t>(own - kinds->second.begin());
+  auto position = std::lower_bound(priorities->second.begin(),
+                                   priorities->second.end(), route.Priority);
+  return static_cast<std::uint32_t>(position - priorities->second.begin());
 }
 
 gsRoute const* gsFindRoute(gsRouteTable const& table, std::string_view host,
                            std::string_view path)
 {
   path = path.substr(0, path.find('?'));
-  std::string plain = HostWithoutPort(host);
-  // Prefixes end with a slash, so only the slashes of the path count.
+  std::string name = NormalizeHost(host);
+  // Each prefix ends with a slash, so only the path up to one of its slashes
+  // can match. The longest is tried first.
   std::size_t slash = path.rfind('/');
   while (slash != std::string_view::npos) {
     auto found =
-      table.RouteIndex.find(IndexKey(plain, path.substr(0, slash + 1)));
+      table.RouteIndex.find(IndexKey(name, path.substr(0, slash + 1)));
     if (found != table.RouteIndex.end()) {
       return &table.Routes[found->second];
     }
@@ -151,8 +156,8 @@
   return nullptr;
 }
 
-gsRouteOrganisation const* gsFindKey(gsRouteTable const& table,
-                                     std::string_view key)
+gsRouteOrganisation const* gsFindOrganisationByKey(gsRouteTable const& table,
+                                                   std::string_view key)
 {
   auto found = table.KeyIndex.find(std::string(key));
   return found == table.KeyIndex.end() ? nullptr
@@ -167,7 +172,7 @@
                                            : &table.Services[found->second];
 }
 
-std::string const& gsPickShare(gsRoute const& route, double draw)
+std::string const& gsSelectService(gsRoute const& route, double draw)
 {
   double total = 0;
   for (gsRouteShare const& share : route.Shares) {
--- a/Source/Core/gsRouteTable.h
+++ b/Source/Core/gsRouteTable.h
@@ -1,10 +1,10 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * The operator's configuration of routes as one whole document: which service
- * a request goes to by its host and path, whose keys there are, and what
- * callers may send. A table is built once from what was read and is then only
- * looked up; a newer version replaces it whole.
+ * The operator's route configuration: routes from host and path to services,
+ * the API keys of organisations, and limits on the requests of callers. A
+ * table is built once from the configuration that was read and is not modified
+ * afterwards; a newer version replaces the whole table.
  */
 #pragma once
 
@@ -20,128 +20,154 @@
 #include "gsScaling.h"
 #include "gsTypes.h"
 
-/** One of the services that share a route's requests. */
+/** A service that receives a share of a route's requests. */
 struct gsRouteShare
 {
   std::string Service;
-  double Weight = 1; ///< Relative to the route's other shares; above zero.
+  /** Relative to the weights of the other shares; greater than zero. */
+  double Weight = 1;
 };
 
-/** What happens to requests of one host and path prefix. */
+/** Handling of requests for one host and path prefix. */
 struct gsRoute
 {
   std::string Name;
   std::string Host;                 ///< Lower case, without a port.
   std::string Prefix;               ///< Begins and ends with a slash.
   std::vector<gsRouteShare> Shares; ///< At least one.
-  bool Repeatable = false;          ///< May run more than once.
-  bool Events = false;              ///< Answers are streams of events.
-  bool Resumable = false; ///< A stream may be taken up at another upstream.
-  bool Anonymous = false; ///< Needs no key.
-  std::uint32_t Priority = 0; ///< Rank; 0 is the highest.
-  std::uint32_t MaxAttempts =
-    1; ///< Upstreams that one request may be sent to.
+  /** An attempt may be retried after it was sent. */
+  bool Repeatable = false;
+  bool StreamsEvents = false; ///< Responses are event streams.
+  /** An interrupted stream may continue at another upstream. */
+  bool Resumable = false;
+  bool AllowsAnonymous = false; ///< Requires no API key.
+  std::uint32_t Priority = 0;   ///< Rank; 0 is the highest.
+  /** Maximum number of upstreams that one request is sent to. */
+  std::uint32_t MaxAttempts = 1;
   gsTime Timeout = gsSeconds(30);
-  gsTime Target{};    ///< To the whole answer, or a stream's first event.
-  gsTime GapTarget{}; ///< Longest pause between events in target.
-  /** Regions where its requests may be served; empty for all. */
+  /** Latency target, until the end of the response or the first event of a
+   * stream. */
+  gsTime LatencyTarget{};
+  /** Target for the interval between events; zero if there is none. */
+  gsTime EventIntervalTarget{};
+  /** Regions in which its requests may be served; empty for all. */
   std::vector<std::string> Regions;
-  /** Least of the pause targets of all routes that share a service with it;
-   * zero when none has one. */
-  gsTime TightestGapTarget{};
+  /** Minimum of the EventIntervalTarget of all event stream routes that have a
+   * service in common with this route; zero if none has a target. Set by
+   * gsIndexRoutes. */
+  gsTime MinEventIntervalTarget{};
 };
 
-/** What is known of the engines of a service; absent for plain services. */
+/** Properties of the engines of a service; absent for plain services. */
 struct gsRouteEngine
 {
-  std::uint32_t Slots = 0;        ///< Requests that run at once.
-  std::uint64_t MemoryTokens = 0; ///< Shared by running and cached prompts.
-  bool HandsOver = false; ///< Engines take cached parts from each other.
+  std::uint32_t Slots = 0; ///< Concurrent requests per engine.
+  /** Memory capacity, shared by the running requests and the prompt cache. */
+  std::uint64_t MemoryTokens = 0;
+  /** Engines can fetch cached prompt parts from each other. */
+  bool CanTransferParts = false;
 };
 
+/** A service and the capacity of its upstreams. */
 struct gsRouteService
 {
   std::string Name;
-  std::uint32_t MaxConnections = 0; ///< Of one upstream, over all hosts.
+  /** Maximum connections to one upstream, all hosts combined. */
+  std::uint32_t MaxConnections = 0;
   std::optional<gsRouteEngine> Engine;
-  /** How its upstreams may be ordered; absent where they may not. */
-  std::optional<gsScalingTerms> Scaling;
-  /** Requests a second that a cold upstream of it bears of all hosts; 0 where
-   * it bears any number. */
-  double ColdPerSecond = 0;
+  /** Terms for ordering more upstreams from the platform; absent if this is
+   * not allowed. */
+  std::optional<gsScalingPolicy> Scaling;
+  /** Maximum requests per second to a cold upstream, all hosts combined; 0 for
+   * no maximum. */
+  double MaxColdRate = 0;
 };
 
+/** A customer, identified by its API keys. */
 struct gsRouteOrganisation
 {
   std::string Name;
   std::vector<std::string> Keys;
-  std::optional<std::uint32_t> Priority; ///< Goes before the route's.
-  /** Regions where its requests may be served, beside the route's; empty for
-   * all. */
+  /** Ranks the organisation's requests among those of routes of the same
+   * priority; 0 is the highest. Empty for the lowest. */
+  std::optional<std::uint32_t> Priority;
+  /** Regions in which its requests may be served, in addition to the
+   * restriction by the route; empty for all. */
   std::vector<std::string> Regions = {};
 };
 
-/** Bounds on what callers send. */
+/** Limits on the requests of callers. */
 struct gsRouteLimits
 {
-  std::uint64_t HeaderBytes = 16384;
-  std::uint64_t BodyBytes = 4194304;
-  gsTime HeaderTimeout = gsSeconds(3);
+  std::uint64_t MaxHeaderBytes = 16384; ///< Parsed, but not enforced.
+  std::uint64_t MaxBodyBytes = 4194304;
+  gsTime HeaderTimeout = gsSeconds(3); ///< Parsed, but not enforced.
+  /** Maximum time without data from the caller. */
   gsTime IdleTimeout = gsSeconds(15);
 };
 
 /** One version of the configuration. */
 struct gsRouteTable
 {
-  std::uint64_t Version = 0; ///< Rises with each change.
+  std::uint64_t Version = 0; ///< Increases with each change.
   std::vector<gsRoute> Routes;
   std::vector<gsRouteService> Services;
   std::vector<gsRouteOrganisation> Organisations;
   gsRouteLimits Limits;
 
-  /** By host and prefix, a line break between them; see gsIndexRoutes. */
+  /** Index in Routes, by host and prefix separated by a line break. All
+   * indexes are set by gsIndexRoutes. */
   std::unordered_map<std::string, std::size_t> RouteIndex;
+  /** Index in Organisations, by API key. */
   std::unordered_map<std::string, std::size_t> KeyIndex;
+  /** Index in Services, by name. */
   std::unordered_map<std::string, std::size_t> ServiceIndex;
-  /** Priorities of the routes that share a service, ascending; by service. */
-  std::unordered_map<std::string, std::vector<std::uint32_t>> KindsOf;
-  /** Pairs of a route's and an organisation's priority, ascending. */
-  std::vector<std::pair<std::uint32_t, std::uint32_t>> Urgencies;
+  /** Distinct priorities of the routes of a service, ascending; by service. */
+  std::unordered_map<std::string, std::vector<std::uint32_t>>
+    PrioritiesByService;
+  /** All pairs of a route's and an organisation's priority, ascending. The
+   * position of a pair is the urgency of its requests. */
+  std::vector<std::pair<std::uint32_t, std::uint32_t>> PriorityPairs;
 };
 
-/**
- * Fills the indexes and what follows from several rows together. Call after
- * each change of the rows.
- */
+/** Computes the indexes and all members that are derived from several rows.
+ * Must be called after each change of the rows. */
 void gsIndexRoutes(gsRouteTable& table);
 
 /**
- * The route of the host whose prefix begins the path and is longest; nothing
- * when there is none. The host may carry a port and capitals, the path a
- * query.
+ * Finds the route of the host with the longest prefix of the path.
+ * \param host May contain a port and upper-case letters.
+ * \param path May contain a query.
+ * \return Null if there is none.
  */
 gsRoute const* gsFindRoute(gsRouteTable const& table, std::string_view host,
                            std::string_view path);
 
-/** The organisation that holds a key; nothing when no one does. */
-gsRouteOrganisation const* gsFindKey(gsRouteTable const& table,
-                                     std::string_view key);
+/** Finds the organisation that owns an API key. \return Null if no
+ * organisation does. */
+gsRouteOrganisation const* gsFindOrganisationByKey(gsRouteTable const& table,
+                                                   std::string_view key);
 
+/** Finds a service by name. \return Null if there is none. */
 gsRouteService const* gsFindService(gsRouteTable const& table,
                                     std::string_view name);
 
 /**
- * Urgency of a request towards an upstream, 0 for the most urgent: the rank
- * of its route's and then its organisation's priority among all pairs that
- * the table allows. A request is never put behind one of a lower route.
+ * Urgency that is sent to upstreams with a request; 0 is the most urgent. It
+ * is the rank of the pair of the route's and the organisation's priority among
+ * all pairs of the table, so that a request is never less urgent than one of a
+ * route with a lower priority.
+ * \param organisation Null for an anonymous request.
  */
-std::uint32_t gsUrgencyOf(gsRouteTable const& table, gsRoute const& route,
-                          gsRouteOrganisation const* organisation);
-
-/** Priorities above a route's own among those that share a service with it. */
-std::uint32_t gsMoreUrgentKinds(gsRouteTable const& table,
-                                std::string const& service,
-                                gsRoute const& route);
-
-/** The service for one request; draw is uniform between 0 and 1. */
-std::string const& gsPickShare(gsRoute const& route, double draw);
+std::uint32_t gsRequestUrgency(gsRouteTable const& table, gsRoute const& route,
+                               gsRouteOrganisation const* organisation);
+
+/** Number of distinct higher priorities among the routes of a service.
+ * \return Zero if the service has no route. */
+std::uint32_t gsCountHigherPriorities(gsRouteTable const& table,
+                                      std::string const& service,
+                                      gsRoute const& route);
+
+/** Selects the service for a request at random, by weight. \param draw A
+ * uniformly distributed number from 0 to 1. */
+std::string const& gsSelectService(gsRoute const& route, double draw);
--- a/Source/Core/gsScaling.cxx
+++ b/Source/Core/gsScaling.cxx
@@ -11,7 +11,7 @@
 std::uint32_t Sum(gsScalingCounts const& counts)
 {
   std::uint32_t sum = 0;
-  for (auto const& [subject, count] : counts) {
+  for (auto const& [pool, count] : counts) {
     sum += count;
   }
   return sum;
@@ -24,13 +24,13 @@
   return found == counts.end() ? 0 : found->second;
 }
 
-/** Halls, those first in which an upstream costs least. */
-std::vector<std::string> HallsByPrice(gsScalingTerms const& terms,
+/** All listed halls, ascending by price. */
+std::vector<std::string> HallsByPrice(gsScalingPolicy const& terms,
                                       gsScalingCounts const& listed)
 {
   std::set<std::string> names;
-  for (auto const& [subject, count] : listed) {
-    names.insert(subject.Hall);
+  for (auto const& [pool, count] : listed) {
+    names.insert(pool.Hall);
   }
   std::vector<std::string> halls(names.begin(), names.end());
   auto price = [&terms](std::string const& hall) {
@@ -44,100 +44,112 @@
   return halls;
 }
 
-bool HasWithdrawable(gsScalingTerms const& terms,
+bool HasWithdrawable(gsScalingPolicy const& terms,
                      gsScalingSettings const& settings)
 {
-  return terms.WithdrawablePrice < 1 && settings.WithdrawableShare > 0;
+  return terms.WithdrawablePrice < 1 && settings.MaxWithdrawableShare > 0;
 }
 
-/** Share of the upstreams that may be busy, by the price of one more. */
-double AllowedUse(gsScalingTerms const& terms,
-                  gsScalingSettings const& settings)
+/** Target utilisation, by the price of an additional upstream. */
+double TargetUtilisation(gsScalingPolicy const& terms,
+                         gsScalingSettings const& settings)
 {
   double price =
     HasWithdrawable(terms, settings) ? terms.WithdrawablePrice : 1.0;
-  return settings.UseIfFree + std::clamp(price, 0.0, 1.0) *
-                                (settings.UseIfDear - settings.UseIfFree);
+  return settings.UtilisationAtZeroPrice +
+         std::clamp(price, 0.0, 1.0) *
+           (settings.UtilisationAtFullPrice - settings.UtilisationAtZeroPrice);
 }
 
-/** Whether the list may be taken for what is there. */
+/** Whether the list of upstreams is considered complete. */
 bool IsSettled(gsScaling& scaling, gsScalingSettings const& settings,
                std::uint32_t listed, gsTime now)
 {
-  if (scaling.Looked.count() == 0) {
-    scaling.Looked = now;
+  if (scaling.FirstListedAt.count() == 0) {
+    scaling.FirstListedAt = now;
   }
-  if (listed != scaling.Seen || scaling.SeenSince.count() == 0) {
-    scaling.Seen = listed;
-    scaling.SeenSince = now;
+  if (listed != scaling.ListedCount || scaling.ListedCountSince.count() == 0) {
+    scaling.ListedCount = listed;
+    scaling.ListedCountSince = now;
   }
-  return now - scaling.SeenSince >= settings.Settle ||
-         now - scaling.Looked >= settings.SettleMost;
+  return now - scaling.ListedCountSince >= settings.SettleTime ||
+         now - scaling.FirstListedAt >= settings.MaxSettleTime;
 }
 
-void NoteDemand(gsScaling& scaling, gsScalingSettings const& settings,
+/** Updates the recent peak demand. */
+void UpdatePeak(gsScaling& scaling, gsScalingSettings const& settings,
                 double demand, gsTime now)
 {
-  if (demand > 0 && scaling.AskedSince.count() == 0) {
-    scaling.AskedSince = now;
+  if (demand > 0 && scaling.FirstDemandAt.count() == 0) {
+    scaling.FirstDemandAt = now;
   }
-  bool over = now - scaling.PeakAt > settings.PeakMemory;
-  if (demand >= scaling.Peak || over) {
-    scaling.Peak = demand;
+  bool expired = now - scaling.PeakAt > settings.PeakRetention;
+  if (demand >= scaling.PeakDemand || expired) {
+    scaling.PeakDemand = demand;
     scaling.PeakAt = now;
   }
 }
 
-/** How many the demand asks for, before any hold. */
-double Asked(gsScaling const& scaling, gsScalingSettings const& settings,
-             gsScalingTerms const& terms, std::size_t halls)
+/** Number of upstreams needed for the peak demand, before limits on changes.
+ */
+double NeededUpstreams(gsScaling const& scaling,
+                       gsScalingSettings const& settings,
+                       gsScalingPolicy const& terms, std::size_t halls)
 {
-  double use = AllowedUse(terms, settings);
-  if (scaling.Peak <= 0) {
-    // Nobody has asked for anything yet. What the operator has put there at
-    // the full price is taken to do for the share that this price allows.
-    return scaling.FirstMixed ? scaling.First
-                              : scaling.First * settings.UseIfDear / use;
+  double utilisation = TargetUtilisation(terms, settings);
+  if (scaling.PeakDemand <= 0) {
+    // There was no demand yet. The regular upstreams that the operator has
+    // provided are considered sufficient at the utilisation for the full
+    // price.
+    return scaling.InitialHasWithdrawable
+             ? scaling.InitialCount
+             : scaling.InitialCount * settings.UtilisationAtFullPrice /
+                 utilisation;
   }
-  double asked = scaling.Peak / use;
+  double needed = scaling.PeakDemand / utilisation;
   if (halls > 1) {
-    // What is left when a hall is lost bears the demand.
-    double share =
+    // The remaining halls have to serve the demand if one hall is lost.
+    double factor =
       static_cast<double>(halls) / (static_cast<double>(halls) - 1);
-    asked = std::max(asked, scaling.Peak / settings.UseInNeed * share);
+    needed =
+      std::max(needed, scaling.PeakDemand / settings.MaxUtilisation * factor);
   }
-  return asked;
+  return needed;
 }
 
-/** Follows what is asked for: up at once, down late and by steps. */
-void Follow(gsScaling& scaling, gsScalingSettings const& settings,
-            std::uint32_t asked, gsTime startup, gsTime now)
+/** Updates the total: increases immediately, decreases delayed and in steps.
+ */
+void UpdateTotal(gsScaling& scaling, gsScalingSettings const& settings,
+                 std::uint32_t needed, gsTime startup, gsTime now)
 {
-  double slack = settings.Slack * scaling.Total;
-  if (asked > scaling.Total + slack) {
-    scaling.Total = asked;
-    scaling.GrewAt = now;
+  double minChange = settings.MinChangeShare * scaling.WantedTotal;
+  if (needed > scaling.WantedTotal + minChange) {
+    scaling.WantedTotal = needed;
+    scaling.IncreasedAt = now;
     return;
   }
-  gsTime hold = std::max(settings.Hold, startup);
-  bool mayShrink =
-    scaling.AskedSince.count() != 0 && now - scaling.AskedSince >= hold &&
-    now - scaling.GrewAt >= hold && now - scaling.ShrankAt >= hold;
-  if (asked + 2 * slack < scaling.Total && mayShrink) {
-    scaling.Total = std::max<std::uint32_t>(
-      asked, scaling.Total - static_cast<std::uint32_t>(2 * slack));
-    scaling.ShrankAt = now;
+  gsTime minInterval = std::max(settings.MinDecreaseInterval, startup);
+  bool mayShrink = scaling.FirstDemandAt.count() != 0 &&
+                   now - scaling.FirstDemandAt >= minInterval &&
+                   now - scaling.IncreasedAt >= minInterval &&
+                   now - scaling.DecreasedAt >= minInterval;
+  if (needed + 2 * minChange < scaling.WantedTotal && mayShrink) {
+    scaling.WantedTotal = std::max<std::uint32_t>(
+      needed, scaling.WantedTotal - static_cast<std::uint32_t>(2 * minChange));
+    scaling.DecreasedAt = now;
   }
 }
 
-bool IsDry(gsScaling const& scaling, std::string const& hall, gsTime now)
+bool IsUnavailable(gsScaling const& scaling, std::string const& hall,
+                   gsTime now)
 {
-  auto found = scaling.DryUntil.find(hall);
-  return found != scaling.DryUntil.end() && now < found->second;
+  auto found = scaling.UnavailableUntil.find(hall);
+  return found != scaling.UnavailableUntil.end() && now < found->second;
 }
 
-/** An even share for each hall, what is left over to the first. */
-std::vector<std::uint32_t> Even(std::uint32_t total, std::size_t halls)
+/** Splits a total evenly over a number of halls; the first halls get the
+ * remainder. */
+std::vector<std::uint32_t> SplitEvenly(std::uint32_t total, std::size_t halls)
 {
   std::vector<std::uint32_t> shares;
   for (std::size_t i = 0; i < halls; ++i) {
@@ -147,56 +159,60 @@
   return shares;
 }
 
-/** Spreads withdrawable ones over the halls that have them; returns how many
- * found no place. */
+/** Spreads withdrawable upstreams over the halls that have them available,
+ * within the maximum per hall. \return The number that could not be placed. */
 std::uint32_t SpreadWithdrawable(gsScaling const& scaling,
-                                 gsScalingTerms const& terms,
+                                 gsScalingPolicy const& terms,
                                  gsScalingCounts const& listed,
                                  std::vector<std::string> const& halls,
                                  std::uint32_t total, gsTime now,
                                  gsScalingCounts& wanted)
 {
-  std::vector<std::string> wet;
-  std::uint32_t left = total;
+  std::vector<std::string> availableHalls;
+  std::uint32_t remaining = total;
   for (std::string const& hall : halls) {
-    if (!IsDry(scaling, hall, now)) {
-      wet.push_back(hall);
+    if (!IsUnavailable(scaling, hall, now)) {
+      availableHalls.push_back(hall);
       continue;
     }
-    std::uint32_t there = CountOf(listed, hall, true);
-    wanted[{ hall, true }] = there;
-    left -= std::min(left, there);
+    std::uint32_t listedCount = CountOf(listed, hall, true);
+    wanted[{ hall, true }] = listedCount;
+    remaining -= std::min(remaining, listedCount);
   }
-  if (wet.empty()) {
-    return left;
+  if (availableHalls.empty()) {
+    return remaining;
   }
-  std::vector<std::uint32_t> shares = Even(left, wet.size());
-  for (std::size_t i = 0; i < wet.size(); ++i) {
-    std::uint32_t dear =
-      std::max(wanted[{ wet[i], false }], CountOf(listed, wet[i], false));
-    std::uint32_t room = terms.Most - std::min(terms.Most, dear);
-    std::uint32_t count = std::min(shares[i], room);
-    wanted[{ wet[i], true }] = count;
-    left -= count;
+  std::vector<std::uint32_t> shares =
+    SplitEvenly(remaining, availableHalls.size());
+  for (std::size_t i = 0; i < availableHalls.size(); ++i) {
+    std::uint32_t regular =
+      std::max(wanted[{ availableHalls[i], false }],
+               CountOf(listed, availableHalls[i], false));
+    std::uint32_t capacity =
+      terms.MaxPerHall - std::min(terms.MaxPerHall, regular);
+    std::uint32_t count = std::min(shares[i], capacity);
+    wanted[{ availableHalls[i], true }] = count;
+    remaining -= count;
   }
-  return left;
+  return remaining;
 }
 
-/** Orders fewer only as far as what is there without them is nearly enough:
- * what replaces them may still be starting. */
-void KeepUntilReplaced(gsScaling const& scaling,
-                       gsScalingSettings const& settings,
-                       gsScalingCounts const& listed, gsScalingCounts& wanted)
+/** Limits decreases so that MinServingShare of the total remains listed, since
+ * the replacements may still be starting. */
+void LimitDecreases(gsScaling const& scaling,
+                    gsScalingSettings const& settings,
+                    gsScalingCounts const& listed, gsScalingCounts& wanted)
 {
-  std::uint32_t there = Sum(listed);
-  auto kept = static_cast<std::uint32_t>(settings.KeepShare * scaling.Total);
-  std::uint32_t spare = there - std::min(there, kept);
-  for (auto& [subject, count] : wanted) {
-    std::uint32_t now = CountOf(listed, subject.Hall, subject.Withdrawable);
-    if (now > count) {
-      std::uint32_t fewer = std::min(now - count, spare);
-      spare -= fewer;
-      count = now - fewer;
+  std::uint32_t listedTotal = Sum(listed);
+  auto minServing =
+    static_cast<std::uint32_t>(settings.MinServingShare * scaling.WantedTotal);
+  std::uint32_t removable = listedTotal - std::min(listedTotal, minServing);
+  for (auto& [pool, count] : wanted) {
+    std::uint32_t current = CountOf(listed, pool.Hall, pool.Withdrawable);
+    if (current > count) {
+      std::uint32_t decrease = std::min(current - count, removable);
+      removable -= decrease;
+      count = current - decrease;
     }
   }
 }
@@ -205,7 +221,7 @@
 
 gsScalingCounts gsScalingDecide(gsScaling& scaling,
                                 gsScalingSettings const& settings,
-                                gsScalingTerms const& terms,
+                                gsScalingPolicy const& terms,
                                 gsScalingCounts const& listed, double demand,
                                 gsTime now)
 {
@@ -213,62 +229,70 @@
   if (halls.empty()) {
     return {};
   }
-  auto count = static_cast<std::uint32_t>(halls.size());
+  auto hallCount = static_cast<std::uint32_t>(halls.size());
   bool settled = IsSettled(scaling, settings, Sum(listed), now);
-  if (scaling.Since.count() == 0 && !settled) {
+  if (scaling.FirstDecisionAt.count() == 0 && !settled) {
     return {};
   }
-  if (scaling.Since.count() == 0) {
-    // Whoever decided before may have ordered for a demand that is not known
-    // here yet: what is there stays for a while.
-    scaling.Since = now;
-    scaling.First = Sum(listed);
-    for (auto const& [subject, there] : listed) {
-      scaling.FirstMixed =
-        scaling.FirstMixed || (subject.Withdrawable && there > 0);
+  if (scaling.FirstDecisionAt.count() == 0) {
+    // Another host may have ordered the listed upstreams for a demand that is
+    // not known here yet, so the first decrease is delayed.
+    scaling.FirstDecisionAt = now;
+    scaling.InitialCount = Sum(listed);
+    for (auto const& [pool, listedCount] : listed) {
+      scaling.InitialHasWithdrawable = scaling.InitialHasWithdrawable ||
+                                       (pool.Withdrawable && listedCount > 0);
     }
-    scaling.Total = scaling.First;
-    scaling.ShrankAt = now;
+    scaling.WantedTotal = scaling.InitialCount;
+    scaling.DecreasedAt = now;
   }
-  NoteDemand(scaling, settings, demand, now);
-  double asked = std::ceil(Asked(scaling, settings, terms, halls.size()));
-  asked = std::clamp<double>(asked, terms.Least * count, terms.Most * count);
-  Follow(scaling, settings, static_cast<std::uint32_t>(asked), terms.Startup,
-         now);
+  UpdatePeak(scaling, settings, demand, now);
+  double needed =
+    std::ceil(NeededUpstreams(scaling, settings, terms, halls.size()));
+  needed = std::clamp<double>(needed, terms.MinPerHall * hallCount,
+                              terms.MaxPerHall * hallCount);
+  UpdateTotal(scaling, settings, static_cast<std::uint32_t>(needed),
+              terms.StartupTime, now);
 
-  double dearShare =
-    HasWithdrawable(terms, settings) ? 1 - settings.WithdrawableShare : 1.0;
-  auto dear = static_cast<std::uint32_t>(std::ceil(dearShare * scaling.Total));
+  double regularShare =
+    HasWithdrawable(terms, settings) ? 1 - settings.MaxWithdrawableShare : 1.0;
+  auto regularTotal =
+    static_cast<std::uint32_t>(std::ceil(regularShare * scaling.WantedTotal));
   gsScalingCounts wanted;
-  std::vector<std::uint32_t> shares = Even(dear, halls.size());
+  std::vector<std::uint32_t> shares = SplitEvenly(regularTotal, halls.size());
   for (std::size_t i = 0; i < halls.size(); ++i) {
     wanted[{ halls[i], false }] =
-      std::clamp(shares[i], terms.Least, terms.Most);
+      std::clamp(shares[i], terms.MinPerHall, terms.MaxPerHall);
   }
   if (!HasWithdrawable(terms, settings)) {
-    KeepUntilReplaced(scaling, settings, listed, wanted);
+    LimitDecreases(scaling, settings, listed, wanted);
     return wanted;
   }
-  std::uint32_t cheap = scaling.Total - std::min(scaling.Total, Sum(wanted));
-  std::uint32_t missing =
-    SpreadWithdrawable(scaling, terms, listed, halls, cheap, now, wanted);
-  std::uint32_t have = scaling.Total - std::min(scaling.Total, missing);
-  auto needed =
-    static_cast<std::uint32_t>(std::ceil(scaling.Peak / settings.UseInNeed));
-  if (have < needed) {
-    std::vector<std::uint32_t> more = Even(needed - have, halls.size());
+  std::uint32_t withdrawableTotal =
+    scaling.WantedTotal - std::min(scaling.WantedTotal, Sum(wanted));
+  std::uint32_t missing = SpreadWithdrawable(scaling, terms, listed, halls,
+                                             withdrawableTotal, now, wanted);
+  std::uint32_t available =
+    scaling.WantedTotal - std::min(scaling.WantedTotal, missing);
+  auto minAvailable = static_cast<std::uint32_t>(
+    std::ceil(scaling.PeakDemand / settings.MaxUtilisation));
+  if (available < minAvailable) {
+    std::vector<std::uint32_t> additional =
+      SplitEvenly(minAvailable - available, halls.size());
     for (std::size_t i = 0; i < halls.size(); ++i) {
       std::uint32_t& regular = wanted[{ halls[i], false }];
       std::uint32_t both = regular + CountOf(wanted, halls[i], true);
-      regular += std::min(more[i], terms.Most - std::min(terms.Most, both));
+      regular += std::min(additional[i],
+                          terms.MaxPerHall - std::min(terms.MaxPerHall, both));
     }
   }
-  KeepUntilReplaced(scaling, settings, listed, wanted);
+  LimitDecreases(scaling, settings, listed, wanted);
   return wanted;
 }
 
-void gsScalingNoteDry(gsScaling& scaling, gsScalingSettings const& settings,
-                      std::string const& hall, gsTime now)
+void gsScalingRecordUnavailable(gsScaling& scaling,
+                                gsScalingSettings const& settings,
+                                std::string const& hall, gsTime now)
 {
-  scaling.DryUntil[hall] = now + settings.DryPatience;
+  scaling.UnavailableUntil[hall] = now + settings.UnavailableRetryDelay;
 }
--- a/Source/Core/gsScaling.h
+++ b/Source/Core/gsScaling.h
@@ -1,16 +1,18 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * How many upstreams a service shall have in each hall, and of which kind. The
- * work that is asked for is counted in engines that it keeps busy; upstreams
- * are ordered so that the highest such demand of late keeps a part of them
- * busy, the smaller a part the less one more of them costs. Those that the
- * platform may withdraw are far cheaper, and all of a hall may go at once:
- * they are a bounded share, spread evenly over halls. Growth is ordered at
- * once; less is ordered only after demand has been lower for a while.
+ * Scaling of a service: the number of upstreams in each hall, regular and
+ * withdrawable. Demand is measured in engines that it keeps busy. The number
+ * of upstreams follows from the recent peak demand and a target utilisation,
+ * which is lower the less an additional upstream costs.
  *
- * One plain struct for the host that decides, and free functions; time is
- * handed in, wanted numbers come out.
+ * Withdrawable upstreams are far cheaper, but the platform may withdraw all of
+ * a hall at once. Their share is therefore bounded, and they are spread evenly
+ * over the halls. Increases are ordered immediately, decreases only after
+ * demand has been lower for some time.
+ *
+ * The state is one plain struct on the deciding host. Callers pass in the
+ * current time and receive the wanted numbers.
  */
 #pragma once
 
@@ -21,94 +23,116 @@
 
 #include "gsTypes.h"
 
-/** What the configuration says of ordering a service's upstreams. */
-struct gsScalingTerms
+/** Configured limits and prices of a service's upstreams. */
+struct gsScalingPolicy
 {
-  std::uint32_t Least = 1; ///< In each hall, of both kinds together.
-  std::uint32_t Most = 1;
-  gsTime Startup{}; ///< From an order until an upstream serves.
-  /** Price of one that may be withdrawn, as a share of the other's; 1 and
-   * more where there are none of these. */
+  /** Minimum number of upstreams per hall, both kinds combined. */
+  std::uint32_t MinPerHall = 1;
+  /** Maximum number of upstreams per hall, both kinds combined. */
+  std::uint32_t MaxPerHall = 1;
+  gsTime StartupTime{}; ///< Time from an order until the upstream serves.
+  /** Price of a withdrawable upstream relative to a regular one. 1 or more if
+   * there are no withdrawable upstreams. */
   double WithdrawablePrice = 1;
-  std::map<std::string, double> HallPrices; ///< Of a second, by hall.
+  /** Price per second of a regular upstream by hall; 1 if not listed. */
+  std::map<std::string, double> HallPrices;
 };
 
+/** Settings of scaling decisions, common to all services. */
 struct gsScalingSettings
 {
   bool Enabled = true;
-  bool DryRun = false; ///< Decides and logs, and orders nothing.
-  /** Share of the upstreams that the highest demand of late may keep busy,
-   * where one more of them costs nothing, */
-  double UseIfFree = 0.3;
-  /** and where it costs the full price. */
-  double UseIfDear = 0.6;
-  /** Most of the upstreams that may be withdrawable. */
-  double WithdrawableShare = 0.8;
-  /** Share that may be busy while a hall has none to offer, before others are
-   * ordered at the full price. */
-  double UseInNeed = 0.8;
-  /** For so long the highest demand counts. */
-  gsTime PeakMemory = gsSeconds(20);
-  /** Less is ordered no sooner after more was, nor more often than this. */
-  gsTime Hold = gsSeconds(12);
-  /** Smaller changes than this share of all are not ordered. */
-  double Slack = 0.1;
-  /** At first the list has to stand unchanged for so long: upstreams that
-   * start with the hosts come into it one by one. */
-  gsTime Settle = gsMilliseconds(1500);
-  /** A list that changes all the time is waited for no longer than this. */
-  gsTime SettleMost = gsSeconds(5);
-  /** While upstreams are exchanged for cheaper ones, so much of what is wanted
-   * stays: where a hall has no room for more, some have to go first. */
-  double KeepShare = 0.9;
-  /** A hall that had none to offer is asked again after so long. */
-  gsTime DryPatience = gsSeconds(4);
+  bool DryRun = false; ///< Decide and log, but order nothing.
+  /** Target utilisation at peak demand if an additional upstream costs
+   * nothing. Interpolated linearly up to UtilisationAtFullPrice. */
+  double UtilisationAtZeroPrice = 0.3;
+  /** Target utilisation at peak demand if an additional upstream costs the
+   * full price. */
+  double UtilisationAtFullPrice = 0.6;
+  /** Maximum share of withdrawable upstreams. */
+  double MaxWithdrawableShare = 0.8;
+  /** Utilisation up to which missing withdrawable upstreams are not replaced
+   * by regular ones at the full price. Also bounds the utilisation after the
+   * loss of a hall. */
+  double MaxUtilisation = 0.8;
+  /** Time for which a peak of the demand counts. */
+  gsTime PeakRetention = gsSeconds(20);
+  /** Minimum time from the first demand, an increase or a decrease until the
+   * next decrease; the startup time if that is longer. */
+  gsTime MinDecreaseInterval = gsSeconds(12);
+  /** Minimum change of the total, as a share of it. Decreases need twice as
+   * much. */
+  double MinChangeShare = 0.1;
+  /** Before the first decision, the number of listed upstreams must be
+   * unchanged for this time: upstreams that start together with the hosts
+   * appear in the list one by one. */
+  gsTime SettleTime = gsMilliseconds(1500);
+  /** Maximum time to wait for an unchanged list. */
+  gsTime MaxSettleTime = gsSeconds(5);
+  /** Share of the total that keeps serving while upstreams are replaced by
+   * cheaper ones. Below 1, since a hall without room for more has to remove
+   * some first. */
+  double MinServingShare = 0.9;
+  /** Time until withdrawable upstreams are ordered again in a hall that had
+   * none available. */
+  gsTime UnavailableRetryDelay = gsSeconds(4);
 };
 
-/** A service's upstreams in one hall and of one kind. */
-struct gsScalingSubject
+/** The regular or the withdrawable upstreams of a service in one hall. */
+struct gsScalingPool
 {
   std::string Hall;
   bool Withdrawable = false;
 
-  friend bool operator<(gsScalingSubject const& a, gsScalingSubject const& b)
+  friend bool operator<(gsScalingPool const& a, gsScalingPool const& b)
   {
     return std::tie(a.Hall, a.Withdrawable) < std::tie(b.Hall, b.Withdrawable);
   }
 };
 
-using gsScalingCounts = std::map<gsScalingSubject, std::uint32_t>;
+/** Numbers of upstreams. */
+using gsScalingCounts = std::map<gsScalingPool, std::uint32_t>;
 
-/** What the deciding host knows of a service. */
+/** Scaling state of a service on the deciding host. */
 struct gsScaling
 {
-  gsTime Looked{};         ///< First look at the list; zero before.
-  std::uint32_t Seen = 0;  ///< Upstreams in it at the last look,
-  gsTime SeenSince{};      ///< and since when there are so many.
-  gsTime Since{};          ///< First decision; zero before.
-  gsTime AskedSince{};     ///< First demand; zero before.
-  std::uint32_t First = 0; ///< Upstreams that were listed at first,
-  bool FirstMixed = false; ///< withdrawable ones among them.
-  double Peak = 0;         ///< Highest demand of late, engines,
-  gsTime PeakAt{};         ///< and when it was that high.
-  std::uint32_t Total = 0; ///< That are wanted.
-  gsTime GrewAt{};
-  gsTime ShrankAt{};
-  std::map<std::string, gsTime> DryUntil; ///< By hall.
+  gsTime FirstListedAt{}; ///< When the list was first read; zero before.
+  std::uint32_t ListedCount = 0;  ///< Listed upstreams when last read.
+  gsTime ListedCountSince{};      ///< Start of the time with that number.
+  gsTime FirstDecisionAt{};       ///< First decision; zero before.
+  gsTime FirstDemandAt{};         ///< First demand; zero before.
+  std::uint32_t InitialCount = 0; ///< Listed upstreams at the first decision.
+  bool InitialHasWithdrawable = false; ///< Some of those were withdrawable.
+  double PeakDemand = 0;               ///< Recent peak demand, busy engines.
+  gsTime PeakAt{};                     ///< Time of the peak.
+  std::uint32_t WantedTotal =
+    0;                  ///< Wanted upstreams of both kinds in all halls.
+  gsTime IncreasedAt{}; ///< Last increase of the total.
+  /** Last decrease of the total; initially the first decision. */
+  gsTime DecreasedAt{};
+  /** End of the time in which no withdrawable upstreams are ordered in a hall
+   * that had none available; by hall. */
+  std::map<std::string, gsTime> UnavailableUntil;
 };
 
 /**
- * Numbers that are wanted; none while the list has not settled. Listed holds
- * the upstreams that are there and do not leave, by subject, with a row for
- * each hall; demand is the work that is asked for, in engines that it keeps
- * busy, and zero while it is not known.
+ * Computes the wanted number of upstreams of each pool.
+ *
+ * \param listed The listed upstreams that are not leaving, with an entry for
+ *   each hall.
+ * \param demand Number of engines that the current demand keeps busy; zero if
+ *   unknown.
+ * \return The wanted numbers; empty while the list has not settled before the
+ *   first decision, or if no hall is listed.
  */
 gsScalingCounts gsScalingDecide(gsScaling& scaling,
                                 gsScalingSettings const& settings,
-                                gsScalingTerms const& terms,
+                                gsScalingPolicy const& terms,
                                 gsScalingCounts const& listed, double demand,
                                 gsTime now);
 
-/** The platform has no withdrawable upstream to offer in a hall. */
-void gsScalingNoteDry(gsScaling& scaling, gsScalingSettings const& settings,
-                      std::string const& hall, gsTime now);
+/** Records that the platform has no withdrawable upstreams available in a
+ * hall. */
+void gsScalingRecordUnavailable(gsScaling& scaling,
+                                gsScalingSettings const& settings,
+                                std::string const& hall, gsTime now);
--- a/Source/Core/gsScalingOrder.cxx
+++ b/Source/Core/gsScalingOrder.cxx
@@ -5,70 +5,72 @@
 
 namespace {
 
-/** What is there may differ from what was ordered for so long, beyond the time
- * that upstreams take to start, before it is ordered again: crashed ones are
- * back within seconds, and a release replaces them one by one. */
-constexpr gsTime DiffersPatience = gsSeconds(3);
-/** Largest difference that is not worth an order, and only where it is less
- * than one in so many. */
-constexpr std::uint32_t NearMost = 2;
-constexpr std::uint32_t NearOf = 12;
+/** Time beyond the startup time after which a mismatch between listed and
+ * wanted upstreams is ordered again. Crashed upstreams restart within seconds,
+ * and a release replaces upstreams one by one. */
+constexpr gsTime MismatchTimeout = gsSeconds(3);
+/** Maximum difference that does not justify an order. */
+constexpr std::uint32_t MaxNegligibleDifference = 2;
+/** Minimum ratio of the larger number to such a difference. */
+constexpr std::uint32_t MinNegligibleRatio = 12;
 
-void NoteDifference(gsScalingOrder& order, std::uint32_t wanted,
-                    std::uint32_t there, gsTime now)
+/** Updates the start time of a mismatch. */
+void UpdateMismatch(gsScalingOrder& order, std::uint32_t wanted,
+                    std::uint32_t listed, gsTime now)
 {
-  if (gsScalingIsNear(there, wanted)) {
-    order.DiffersSince = gsTime{};
-  } else if (order.DiffersSince.count() == 0) {
-    order.DiffersSince = now;
+  if (gsScalingIsNegligibleChange(listed, wanted)) {
+    order.MismatchSince = gsTime{};
+  } else if (order.MismatchSince.count() == 0) {
+    order.MismatchSince = now;
   }
 }
 
 } // namespace
 
-bool gsScalingIsNear(std::uint32_t a, std::uint32_t b)
+bool gsScalingIsNegligibleChange(std::uint32_t a, std::uint32_t b)
 {
-  std::uint32_t differ = a > b ? a - b : b - a;
-  return differ <= NearMost && differ * NearOf <= std::max(a, b);
+  std::uint32_t difference = a > b ? a - b : b - a;
+  return difference <= MaxNegligibleDifference &&
+         difference * MinNegligibleRatio <= std::max(a, b);
 }
 
-bool gsScalingIsDue(gsScalingOrder& order, std::uint32_t wanted,
-                    std::uint32_t there, gsTime startup, std::uint64_t token,
-                    gsTime now)
+bool gsScalingOrderIsDue(gsScalingOrder& order, std::uint32_t wanted,
+                         std::uint32_t listed, gsTime startup,
+                         std::uint64_t token, gsTime now)
 {
-  NoteDifference(order, wanted, there, now);
-  if (now < order.NextTry) {
+  UpdateMismatch(order, wanted, listed, now);
+  if (now < order.NextAttemptAt) {
     return false;
   }
-  if (!order.Given) {
-    order.Count = there;
-    return !gsScalingIsNear(there, wanted);
+  if (!order.IsPlaced) {
+    order.Count = listed;
+    return !gsScalingIsNegligibleChange(listed, wanted);
   }
-  bool changed = !gsScalingIsNear(wanted, order.Count);
-  bool differs =
-    order.DiffersSince.count() != 0 &&
-    now - std::max(order.DiffersSince, order.At) >= startup + DiffersPatience;
-  // What has just been ordered is not taken back before it serves: a hall that
-  // may have upstreams again, and then has none, would turn it to and fro.
-  bool turns = order.Grew && wanted < order.Count &&
-               now - order.At < startup + DiffersPatience;
-  if (turns) {
+  bool changed = !gsScalingIsNegligibleChange(wanted, order.Count);
+  bool isMismatched = order.MismatchSince.count() != 0 &&
+                      now - std::max(order.MismatchSince, order.PlacedAt) >=
+                        startup + MismatchTimeout;
+  // An increase is not reverted before its upstreams serve. Orders would
+  // otherwise oscillate in a hall whose availability changes quickly.
+  bool revertsIncrease = order.IsIncrease && wanted < order.Count &&
+                         now - order.PlacedAt < startup + MismatchTimeout;
+  if (revertsIncrease) {
     return false;
   }
-  if (!order.Answered) {
-    return token > order.Token;
+  if (!order.IsAnswered) {
+    return token > order.FencingToken;
   }
-  return changed || differs;
+  return changed || isMismatched;
 }
 
-void gsScalingGive(gsScalingOrder& order, std::uint32_t wanted,
-                   std::uint64_t token, gsTime now)
+void gsScalingRecordOrder(gsScalingOrder& order, std::uint32_t wanted,
+                          std::uint64_t token, gsTime now)
 {
-  order.Given = true;
-  order.Grew = wanted > order.Count;
+  order.IsPlaced = true;
+  order.IsIncrease = wanted > order.Count;
   order.Count = wanted;
-  order.Token = token;
-  order.At = now;
-  order.Answered = false;
-  order.DiffersSince = gsTime{};
+  order.FencingToken = token;
+  order.PlacedAt = now;
+  order.IsAnswered = false;
+  order.MismatchSince = gsTime{};
 }
--- a/Source/Core/gsScalingOrder.h
+++ b/Source/Core/gsScalingOrder.h
@@ -1,10 +1,10 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * When an order of upstreams is given, and given again. One order at a time
- * stands for each subject, a hall and a kind; an order that was not answered
- * may still be carried out late, after a newer one. Nothing here reads a clock
- * or does I/O.
+ * Placing and repeating of orders for upstreams. Each pool, which is a hall
+ * and a kind of upstreams, has at most one current order. An order without an
+ * answer may still be executed late, after a newer one; fencing tokens let the
+ * platform refuse it. No function reads a clock or performs I/O.
  */
 #pragma once
 
@@ -12,33 +12,39 @@
 
 #include "gsTypes.h"
 
-/** What was last ordered of a subject. */
+/** The current order of a pool. */
 struct gsScalingOrder
 {
-  bool Given = false;      ///< Any order was; Count is what was found else.
-  std::uint32_t Count = 0; ///< That was ordered.
-  std::uint64_t Token = 0; ///< Fencing token that it went with.
-  gsTime At{};
-  gsTime NextTry{};
-  bool Answered = true;
-  bool Grew = false;     ///< More were ordered than before.
-  gsTime DiffersSince{}; ///< What is there is not what is wanted; or zero.
+  bool IsPlaced = false; ///< An order has been placed.
+  /** Ordered number; the listed number before the first order. */
+  std::uint32_t Count = 0;
+  std::uint64_t FencingToken = 0; ///< Fencing token of the order.
+  gsTime PlacedAt{};              ///< When it was placed.
+  gsTime NextAttemptAt{};  ///< No order is placed before; set by the caller.
+  bool IsAnswered = true;  ///< The platform has answered; set by the caller.
+  bool IsIncrease = false; ///< It was an increase.
+  /** Start of the time in which the listed number is not close to the wanted
+   * number; zero if it is close. */
+  gsTime MismatchSince{};
 };
 
-/** Whether two numbers of upstreams are as good as the same: each order moves
- * subjects, and one or two of many are not worth that. */
-bool gsScalingIsNear(std::uint32_t a, std::uint32_t b);
+/** Whether the difference between two numbers of upstreams is too small for an
+ * order: each order moves subjects, and one or two of many upstreams do not
+ * justify that. */
+bool gsScalingIsNegligibleChange(std::uint32_t a, std::uint32_t b);
 
 /**
- * Whether an order is due, now that so many are wanted and there. Startup is
- * how long upstreams take to serve. An order follows one that was not answered
- * only with a higher token, so that the platform refuses the older if it comes
+ * Whether an order has to be placed. An unanswered order is replaced only with
+ * a higher token, so that the platform refuses the older order if it arrives
  * late.
+ *
+ * \param listed Number of listed upstreams.
+ * \param startup Time that upstreams take to start.
  */
-bool gsScalingIsDue(gsScalingOrder& order, std::uint32_t wanted,
-                    std::uint32_t there, gsTime startup, std::uint64_t token,
-                    gsTime now);
+bool gsScalingOrderIsDue(gsScalingOrder& order, std::uint32_t wanted,
+                         std::uint32_t listed, gsTime startup,
+                         std::uint64_t token, gsTime now);
 
-/** Notes that an order is given. */
-void gsScalingGive(gsScalingOrder& order, std::uint32_t wanted,
-                   std::uint64_t token, gsTime now);
+/** Records that an order is placed. */
+void gsScalingRecordOrder(gsScalingOrder& order, std::uint32_t wanted,
+                          std::uint64_t token, gsTime now);
--- a/Source/Core/gsUpstreamList.cxx
+++ b/Source/Core/gsUpstreamList.cxx
@@ -6,142 +6,145 @@
 namespace {
 
 /**
- * Births that are remembered of upstreams that have no row any more; at some
- * 100 bytes each 400 KB. They are looked through only once as many have gone
- * since the last time, so that a row costs the same however many rows there
- * are: 20,000 rows are taken in 30 ms of a full core.
+ * Maximum number of start times retained of upstreams without a row. At about
+ * 100 bytes each they take 400 KB. They are scanned only when this many
+ * upstreams have been removed since the last scan, so the amortised cost of
+ * applying a row does not depend on the number of rows: 20,000 rows take 30 ms
+ * of a full core.
  */
-constexpr std::size_t GoneBirthsMost = 4096;
+constexpr std::size_t MaxUnlistedStarts = 4096;
 
-/** Forgets the births of upstreams that have no row, once these are many. */
-void ForgetBirths(gsUpstreamList& list)
+/** Removes the start times of upstreams without a row if there are more than
+ * MaxUnlistedStarts of them. */
+void PruneStartTimes(gsUpstreamList& list)
 {
-  if (list.Births.size() <= list.Rows.size() + GoneBirthsMost) {
+  if (list.LatestStarts.size() <= list.Rows.size() + MaxUnlistedStarts) {
     return;
   }
-  for (auto birth = list.Births.begin(); birth != list.Births.end();) {
-    bool has = list.Rows.count(birth->first) != 0;
-    birth = has ? std::next(birth) : list.Births.erase(birth);
+  for (auto start = list.LatestStarts.begin();
+       start != list.LatestStarts.end();) {
+    bool isListed = list.Rows.count(start->first) != 0;
+    start = isListed ? std::next(start) : list.LatestStarts.erase(start);
   }
 }
 
-/** The latest start that is known of an upstream; 0 for none. */
-std::uint64_t BornLast(gsUpstreamList const& list, std::string const& id)
+/** Latest known start time of an upstream; 0 if none is known. */
+std::uint64_t LatestStart(gsUpstreamList const& list, std::string const& id)
 {
-  auto found = list.Births.find(id);
-  return found == list.Births.end() ? 0 : found->second;
+  auto found = list.LatestStarts.find(id);
+  return found == list.LatestStarts.end() ? 0 : found->second;
 }
 
-gsListing Compare(std::optional<gsListedUpstream> const& before,
-                  gsListedUpstream const& now)
+gsListingChange ClassifyChange(std::optional<gsListedUpstream> const& before,
+                               gsListedUpstream const& after)
 {
-  if (before && before->Born != now.Born) {
-    return gsListing::Restarted;
+  if (before && before->StartedAt != after.StartedAt) {
+    return gsListingChange::Restarted;
   }
-  if (now.Leaving) {
-    bool known = before && before->Leaving;
-    return known ? gsListing::Same : gsListing::Leaving;
+  if (after.Leaving) {
+    bool wasLeaving = before && before->Leaving;
+    return wasLeaving ? gsListingChange::Unchanged : gsListingChange::Leaving;
   }
-  bool fresh = !before || before->Leaving || before->Service != now.Service;
-  return fresh ? gsListing::Listed : gsListing::Same;
+  bool isNew = !before || before->Leaving || before->Service != after.Service;
+  return isNew ? gsListingChange::Listed : gsListingChange::Unchanged;
 }
 
 } // namespace
 
-char const* gsListingWord(gsListing listing)
+char const* gsListingChangeName(gsListingChange listing)
 {
   switch (listing) {
-    case gsListing::Same:
+    case gsListingChange::Unchanged:
       return "upstream_same";
-    case gsListing::Listed:
+    case gsListingChange::Listed:
       return "upstream_listed";
-    case gsListing::Leaving:
+    case gsListingChange::Leaving:
       return "upstream_leaving";
-    case gsListing::Restarted:
+    case gsListingChange::Restarted:
       return "upstream_restarted";
-    case gsListing::Unreadable:
+    case gsListingChange::Unreadable:
       return "upstream_unreadable";
-    case gsListing::Older:
+    case gsListingChange::Outdated:
       break;
   }
   return "upstream_older";
 }
 
-bool gsListHas(gsUpstreamList const& list, std::string const& id,
-               std::uint64_t version)
+bool gsListHasVersion(gsUpstreamList const& list, std::string const& id,
+                      std::uint64_t version)
 {
   auto found = list.Rows.find(id);
   return found != list.Rows.end() && found->second.Version == version;
 }
 
-gsListing gsListTake(gsUpstreamList& list, std::string const& id,
-                     std::uint64_t version,
-                     gsResult<gsListedUpstream> const& read)
+gsListingChange gsListApplyRow(gsUpstreamList& list, std::string const& id,
+                               std::uint64_t version,
+                               gsResult<gsListedUpstream> const& read)
 {
-  gsNamedRow& row = list.Rows[id];
+  gsUpstreamListRow& row = list.Rows[id];
   row.Version = version;
   if (!read) {
-    ++list.Unreadable;
-    row.Named.reset();
-    return gsListing::Unreadable;
+    ++list.UnreadableCount;
+    row.Upstream.reset();
+    return gsListingChange::Unreadable;
   }
-  gsListedUpstream named = read.value();
-  std::uint64_t last = BornLast(list, id);
-  if (named.Born == 0 && row.Named) {
-    // A row that tells no birth is of the incarnation that is listed.
-    named.Born = row.Named->Born;
+  gsListedUpstream upstream = read.value();
+  std::uint64_t latest = LatestStart(list, id);
+  if (upstream.StartedAt == 0 && row.Upstream) {
+    // A row without a start time describes the listed incarnation.
+    upstream.StartedAt = row.Upstream->StartedAt;
   }
-  if (named.Born < last) {
-    if (row.Named && row.Named->Born < last) {
-      row.Named.reset();
+  if (upstream.StartedAt < latest) {
+    if (row.Upstream && row.Upstream->StartedAt < latest) {
+      row.Upstream.reset();
     }
-    return gsListing::Older;
+    return gsListingChange::Outdated;
   }
-  if (named.Born > 0) {
-    list.Births[id] = named.Born;
+  if (upstream.StartedAt > 0) {
+    list.LatestStarts[id] = upstream.StartedAt;
   }
-  ForgetBirths(list);
-  gsListing change = Compare(row.Named, named);
-  row.Named = std::move(named);
+  PruneStartTimes(list);
+  gsListingChange change = ClassifyChange(row.Upstream, upstream);
+  row.Upstream = std::move(upstream);
   return change;
 }
 
-void gsListRemove(gsUpstreamList& list, std::string const& id)
+void gsListRemoveRow(gsUpstreamList& list, std::string const& id)
 {
   list.Rows.erase(id);
 }
 
-gsListedUpstream const* gsListNamed(gsUpstreamList const& list,
-                                    std::string const& id)
+gsListedUpstream const* gsListFind(gsUpstreamList const& list,
+                                   std::string const& id)
 {
   auto row = list.Rows.find(id);
-  if (row == list.Rows.end() || !row->second.Named) {
+  if (row == list.Rows.end() || !row->second.Upstream) {
     return nullptr;
   }
-  gsListedUpstream const& named = *row->second.Named;
-  bool known =
-    list.Services.empty() || list.Services.count(named.Service) != 0;
-  return known ? &named : nullptr;
+  gsListedUpstream const& upstream = *row->second.Upstream;
+  bool isKnown =
+    list.Services.empty() || list.Services.count(upstream.Service) != 0;
+  return isKnown ? &upstream : nullptr;
 }
 
-std::vector<gsListedUpstream> gsListOf(gsUpstreamList const& list)
+std::vector<gsListedUpstream> gsListUpstreams(gsUpstreamList const& list)
 {
-  std::vector<gsListedUpstream> listed;
-  listed.reserve(list.Rows.size());
+  std::vector<gsListedUpstream> upstreams;
+  upstreams.reserve(list.Rows.size());
   for (auto const& [id, row] : list.Rows) {
-    if (gsListedUpstream const* named = gsListNamed(list, id)) {
-      listed.push_back(*named);
+    if (gsListedUpstream const* upstream = gsListFind(list, id)) {
+      upstreams.push_back(*upstream);
     }
   }
-  return listed;
+  return upstreams;
 }
 
-bool gsIsPlainId(std::string_view id)
+bool gsIsPrintableId(std::string_view id)
 {
-  constexpr unsigned char firstPlain = 0x21;
-  constexpr unsigned char lastPlain = 0x7E;
+  constexpr unsigned char firstPrintable = 0x21;
+  constexpr unsigned char lastPrintable = 0x7E;
   return !id.empty() && std::all_of(id.begin(), id.end(), [](char c) {
     auto byte = static_cast<unsigned char>(c);
-    return byte >= firstPlain && byte <= lastPlain;
+    return byte >= firstPrintable && byte <= lastPrintable;
   });
 }
--- a/Source/Core/gsUpstreamList.h
+++ b/Source/Core/gsUpstreamList.h
@@ -1,10 +1,14 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * Which upstreams the rows of the platform's table name. Rows may be written
- * by others than upstreams: one that cannot be read, names an unknown service
- * or belongs to an earlier start of an upstream names none, and costs nothing
- * but itself. Nothing here reads a clock or does I/O.
+ * The list of upstreams, derived from the rows of the platform's table. Rows
+ * may be written by clients other than upstreams. A row that cannot be parsed,
+ * belongs to an unknown service or describes an earlier start of its upstream
+ * yields no upstream and does not affect the other rows.
+ *
+ * The start times of removed upstreams are retained up to a fixed number, so
+ * that an outdated row is recognised. The functions neither read a clock nor
+ * do I/O.
  */
 #pragma once
 
@@ -18,58 +22,64 @@
 
 #include "gsFleet.h"
 
-/** What a row has changed in the list. */
-enum class gsListing
+/** Effect of a row on the list. */
+enum class gsListingChange
 {
-  Same,       ///< Nothing that matters to others.
-  Listed,     ///< An upstream may get work that was not listed for it before.
-  Leaving,    ///< An upstream begins to leave.
-  Restarted,  ///< An upstream has started again under its id.
-  Unreadable, ///< The row names no upstream.
-  Older       ///< The row is of an earlier start than the one that is known.
+  Unchanged,  ///< No change that other parts of the host depend on.
+  Listed,     ///< An upstream is new, has returned or serves another service.
+  Leaving,    ///< An upstream has begun to leave.
+  Restarted,  ///< An upstream has restarted under the same id.
+  Unreadable, ///< The row cannot be parsed.
+  Outdated    ///< The row describes an earlier start of the upstream.
 };
 
-char const* gsListingWord(gsListing listing);
+/** Name of the log event. */
+char const* gsListingChangeName(gsListingChange listing);
 
-/** A row as it was last read. */
-struct gsNamedRow
+/** The last version that was read of a row. */
+struct gsUpstreamListRow
 {
-  std::uint64_t Version = 0; ///< Of the row.
-  /** What it names; absent for no upstream. */
-  std::optional<gsListedUpstream> Named;
+  std::uint64_t Version = 0; ///< Version of the row.
+  /** The upstream as last accepted. An unreadable version clears it; a version
+   * of an earlier start does not replace it. */
+  std::optional<gsListedUpstream> Upstream;
 };
 
+/** All rows of the upstream table and the upstreams that they describe. */
 struct gsUpstreamList
 {
-  std::map<std::string, gsNamedRow> Rows; ///< By key of the row.
-  /** Latest start of each upstream that was named, also of those that are
-   * gone, as far as remembered. */
-  std::map<std::string, std::uint64_t> Births;
-  /** Services that any configuration has named; all are known while it is
-   * empty. */
+  std::map<std::string, gsUpstreamListRow> Rows; ///< By row key.
+  /** Latest start time of each upstream that was listed, Unix milliseconds, by
+   * id. Up to 4096 are retained of upstreams without a row. */
+  std::map<std::string, std::uint64_t> LatestStarts;
+  /** Services of all configurations that were read. While it is empty, every
+   * service is accepted. Set by the caller. */
   std::set<std::string> Services;
-  std::uint64_t Unreadable = 0; ///< Rows that named no upstream when read.
+  std::uint64_t UnreadableCount =
+    0; ///< Number of rows that could not be parsed.
 };
 
-/** Whether the row of that version was taken already. */
-bool gsListHas(gsUpstreamList const& list, std::string const& id,
-               std::uint64_t version);
+/** Whether this version of a row was already applied. */
+bool gsListHasVersion(gsUpstreamList const& list, std::string const& id,
+                      std::uint64_t version);
 
-/** Takes a row that was read, or that could not be read. */
-gsListing gsListTake(gsUpstreamList& list, std::string const& id,
-                     std::uint64_t version,
-                     gsResult<gsListedUpstream> const& read);
+/** Applies a new version of a row.
+ * \param read The parsed row, or the parse error. */
+gsListingChange gsListApplyRow(gsUpstreamList& list, std::string const& id,
+                               std::uint64_t version,
+                               gsResult<gsListedUpstream> const& read);
 
-/** Forgets a row that is gone. */
-void gsListRemove(gsUpstreamList& list, std::string const& id);
+/** Removes a row. Its upstream's latest start time is retained. */
+void gsListRemoveRow(gsUpstreamList& list, std::string const& id);
 
-/** The upstream that a row names, if it may be used or is leaving; null if
- * the row names none, or one of a service that is not known. */
-gsListedUpstream const* gsListNamed(gsUpstreamList const& list,
-                                    std::string const& id);
+/** Finds the upstream that a row describes, including one that is leaving.
+ * \return Null if there is none or its service is unknown. */
+gsListedUpstream const* gsListFind(gsUpstreamList const& list,
+                                   std::string const& id);
 
-/** The upstreams that may be used or are leaving. */
-std::vector<gsListedUpstream> gsListOf(gsUpstreamList const& list);
+/** All upstreams of known services, including those that are leaving. */
+std::vector<gsListedUpstream> gsListUpstreams(gsUpstreamList const& list);
 
-/** Whether an id may stand in headers and logs as it is. */
-bool gsIsPlainId(std::string_view id);
+/** Whether an id can be written to headers and logs without escaping: it is
+ * not empty and consists of printable ASCII characters other than space. */
+bool gsIsPrintableId(std::string_view id);
--- a/Source/Core/gsUpstreamText.cxx
+++ b/Source/Core/gsUpstreamText.cxx
@@ -7,10 +7,11 @@
 
 namespace {
 
-/** Begins the text; no platform's row begins so. */
-constexpr char Mark = '\x01';
+/** First byte of the format. A platform's row never begins with it. */
+constexpr char FormatMarker = '\x01';
 constexpr char Separator = '\t';
 
+/** Position of each field. */
 enum Field : std::size_t
 {
   Service,
@@ -18,42 +19,45 @@
   Hall,
   Slots,
   Flags,
-  Born,
-  ColdMillis,
+  StartedAt,
+  RemainingColdMillis,
   FieldCount
 };
 
 constexpr std::uint64_t LeavingFlag = 1;
 constexpr std::uint64_t WithdrawableFlag = 2;
 
-std::optional<std::uint64_t> Number(std::string_view text)
+/** Parses an unsigned decimal number. */
+std::optional<std::uint64_t> ParseNumber(std::string_view text)
 {
   std::uint64_t value = 0;
   char const* end = text.data() + text.size();
   auto parsed = std::from_chars(text.data(), end, value);
-  bool good = !text.empty() && parsed.ec == std::errc() && parsed.ptr == end;
-  return good ? std::optional<std::uint64_t>(value) : std::nullopt;
+  bool valid = !text.empty() && parsed.ec == std::errc() && parsed.ptr == end;
+  return valid ? std::optional<std::uint64_t>(value) : std::nullopt;
 }
 
-bool IsName(std::string const& text)
+/** Whether a text can be written as a field. */
+bool IsEncodable(std::string const& text)
 {
   return !text.empty() && text.find(Separator) == std::string::npos;
 }
 
 using Fields = std::array<std::string_view, FieldCount>;
 
-/** The fields of a text without its mark; nothing if they are not as many. */
+/** Splits a text without its format marker. \return Empty if the number of
+ * fields is wrong. */
 std::optional<Fields> Split(std::string_view text)
 {
   Fields fields;
   for (std::size_t i = 0; i < FieldCount; ++i) {
     std::size_t end = text.find(Separator);
-    bool last = i + 1 == FieldCount;
-    if (last != (end == std::string_view::npos)) {
+    bool isLast = i + 1 == FieldCount;
+    if (isLast != (end == std::string_view::npos)) {
       return std::nullopt;
     }
     fields[i] = text.substr(0, end);
-    text.remove_prefix(last ? text.size() : end + 1);
+    text.remove_prefix(isLast ? text.size() : end + 1);
   }
   return fields;
 }
@@ -62,21 +66,22 @@
 
 std::string gsUpstreamText(gsListedUpstream const& upstream)
 {
-  bool plain = IsName(upstream.Service) && IsName(upstream.Address) &&
-               IsName(upstream.Hall);
-  if (!plain) {
+  bool encodable = IsEncodable(upstream.Service) &&
+                   IsEncodable(upstream.Address) && IsEncodable(upstream.Hall);
+  if (!encodable) {
     return {};
   }
   std::uint64_t flags = (upstream.Leaving ? LeavingFlag : 0) +
                         (upstream.Withdrawable ? WithdrawableFlag : 0);
-  auto cold =
-    std::chrono::duration_cast<gsMilliseconds>(upstream.ColdLeft).count();
-  std::string text(1, Mark);
+  auto coldMillis =
+    std::chrono::duration_cast<gsMilliseconds>(upstream.RemainingColdTime)
+      .count();
+  std::string text(1, FormatMarker);
   text += upstream.Service + Separator + upstream.Address + Separator +
           upstream.Hall;
   for (std::uint64_t number :
-       { std::uint64_t(upstream.Slots), flags, upstream.Born,
-         static_cast<std::uint64_t>(cold) }) {
+       { std::uint64_t(upstream.Slots), flags, upstream.StartedAt,
+         static_cast<std::uint64_t>(coldMillis) }) {
     text += Separator + std::to_string(number);
   }
   return text;
@@ -84,11 +89,11 @@
 
 bool gsIsUpstreamText(std::string_view text)
 {
-  return !text.empty() && text.front() == Mark;
+  return !text.empty() && text.front() == FormatMarker;
 }
 
-std::optional<gsListedUpstream> gsReadUpstreamText(std::string_view id,
-                                                   std::string_view text)
+std::optional<gsListedUpstream> gsParseUpstreamText(std::string_view id,
+                                                    std::string_view text)
 {
   if (!gsIsUpstreamText(text)) {
     return std::nullopt;
@@ -97,11 +102,12 @@
   if (!fields) {
     return std::nullopt;
   }
-  std::optional<std::uint64_t> slots = Number((*fields)[Slots]);
-  std::optional<std::uint64_t> flags = Number((*fields)[Flags]);
-  std::optional<std::uint64_t> born = Number((*fields)[Born]);
-  std::optional<std::uint64_t> cold = Number((*fields)[ColdMillis]);
-  if (!slots || !flags || !born || !cold) {
+  std::optional<std::uint64_t> slots = ParseNumber((*fields)[Slots]);
+  std::optional<std::uint64_t> flags = ParseNumber((*fields)[Flags]);
+  std::optional<std::uint64_t> startedAt = ParseNumber((*fields)[StartedAt]);
+  std::optional<std::uint64_t> coldMillis =
+    ParseNumber((*fields)[RemainingColdMillis]);
+  if (!slots || !flags || !startedAt || !coldMillis) {
     return std::nullopt;
   }
   gsListedUpstream upstream;
@@ -112,7 +118,7 @@
   upstream.Slots = static_cast<std::uint32_t>(*slots);
   upstream.Leaving = (*flags & LeavingFlag) != 0;
   upstream.Withdrawable = (*flags & WithdrawableFlag) != 0;
-  upstream.Born = *born;
-  upstream.ColdLeft = gsMilliseconds(*cold);
+  upstream.StartedAt = *startedAt;
+  upstream.RemainingColdTime = gsMilliseconds(*coldMillis);
   return upstream;
 }
--- a/Source/Core/gsUpstreamText.h
+++ b/Source/Core/gsUpstreamText.h
@@ -1,10 +1,10 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * An upstream as hosts keep it in their copies of the table and tell it each
- * other: some 60 bytes, a quarter of the platform's own row, and read in a
- * tenth of the time. What the platform's row says beside is of no use to
- * hosts.
+ * Compact text format of an upstream, which hosts use in their replicas of the
+ * table and in updates to each other. It takes about 60 bytes, a quarter of
+ * the platform's row, and is parsed in a tenth of the time. It omits the
+ * fields of the platform's row that hosts do not use.
  */
 #pragma once
 
@@ -14,12 +14,14 @@
 
 #include "gsFleet.h"
 
-/** The text; empty if a name holds a sign that would end it. */
+/** Formats an upstream without its id. \return An empty string if the service,
+ * address or hall is empty or contains the field separator. */
 std::string gsUpstreamText(gsListedUpstream const& upstream);
 
-/** Whether a text is of this form, and not a platform's row. */
+/** Whether a text is in this format, as opposed to a platform's row. Checks
+ * only the first byte. */
 bool gsIsUpstreamText(std::string_view text);
 
-/** Reads it; nothing if it is not whole. */
-std::optional<gsListedUpstream> gsReadUpstreamText(std::string_view id,
-                                                   std::string_view text);
+/** Parses a text. \return Empty if it is malformed or incomplete. */
+std::optional<gsListedUpstream> gsParseUpstreamText(std::string_view id,
+                                                    std::string_view text);
--- a/Source/Daemon/gradescaled.cxx
+++ b/Source/Daemon/gradescaled.cxx
@@ -1,7 +1,9 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * The daemon: reads its settings, starts a node, and stops it on a signal.
+ * The daemon of a host. It reads the settings, runs a node, and stops the node
+ * on SIGTERM or SIGINT. With a platform table in the settings it runs a
+ * gsRouteNode, which reloads its settings on SIGHUP, otherwise a gsNode.
  */
 #include <csignal>
 #include <iostream>
