--- a/Source/Daemon/gsAdapter.h
+++ b/Source/Daemon/gsAdapter.h
@@ -1,10 +1,10 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * The seams between the routed mode and an outside platform: plain structs of
- * functions that translate names, formats and calls. They decide nothing and
- * keep nothing. The folder platform/ implements them; tests implement them
- * for their stand-ins.
+ * The interface between the routed mode and an external platform: plain
+ * structs of functions that translate names, formats and calls. An adapter
+ * makes no decisions and holds no state. The folder platform/ contains the
+ * implementation; tests provide implementations for their fake platforms.
  */
 #pragma once
 
@@ -19,191 +19,200 @@
 #include "gsHttpClient.h"
 #include "gsHttpServer.h"
 #include "gsRouteTable.h"
-#include "gsTableCopy.h"
-#include "gsUpstreamWord.h"
+#include "gsTableReplica.h"
+#include "gsUpstreamAnnouncement.h"
 #include "gsUsage.h"
 
-/** A caller's request as it was read; nothing in it has been decided. */
+/** A caller's parsed request, before any routing or admission decision. */
 struct gsCallerRequest
 {
-  std::string Id; ///< The caller's own id of this attempt of theirs.
+  std::string
+    AttemptId; ///< Identifies this attempt of the caller; never empty.
   std::string Method;
-  std::string Host;   ///< As sent, perhaps with a port.
+  std::string Host;   ///< Host header as sent, possibly with a port.
   std::string Target; ///< Path and query, unaltered.
   std::string Body;
-  /** Headers to pass on, without those of one connection or of the system. */
+  /** Headers to forward: without hop-by-hop headers and without those that
+   * only the system may set. */
   gsHeaders Headers;
-  std::optional<std::string> Key;  ///< Secret; never logged or passed on.
-  std::optional<gsTime> Deadline;  ///< What the caller waits, from arrival.
-  std::vector<gsPromptPart> Parts; ///< Of the prompt, in order.
+  std::optional<std::string> ApiKey; ///< Secret; never logged or forwarded.
+  std::optional<gsTime> Deadline;    ///< Caller's timeout, from arrival.
+  std::vector<gsPromptPart> PromptParts; ///< Parts of the prompt, in order.
   std::uint32_t PromptTokens = 0;
-  std::uint32_t AnswerTokens = 0; ///< At most.
-  /** Last event that the caller has of a stream it takes up again. */
-  std::optional<std::uint64_t> LastEvent;
+  std::uint32_t MaxOutputTokens = 0; ///< Maximum number of output tokens.
+  /** Last event that the caller received of the stream that it resumes. */
+  std::optional<std::uint64_t> LastEventId;
 };
 
-/** What the system tells an upstream with one attempt. */
-struct gsAttemptFacts
+/** Metadata sent to an upstream with one attempt. */
+struct gsAttemptMetadata
 {
-  std::string UpstreamId;   ///< Any other upstream turns the attempt down.
-  std::string Organisation; ///< Empty for anonymous requests.
-  gsTime DeadlineLeft{};
-  std::uint32_t Urgency = 0;              ///< 0 is the most urgent.
-  std::optional<std::uint64_t> LastEvent; ///< To take a stream up after it.
-  /** Address of an engine that hands cached parts over; empty for none. */
-  std::string TakeFrom;
+  std::string UpstreamId;    ///< Any other upstream rejects the attempt.
+  std::string Organisation;  ///< Empty for anonymous requests.
+  gsTime TimeToDeadline{};   ///< Time until the caller's deadline.
+  std::uint32_t Urgency = 0; ///< 0 is the most urgent.
+  std::optional<std::uint64_t> LastEventId; ///< To resume a stream after it.
+  /** Address of an engine that transfers cached prompt parts; empty if there
+   * is none. */
+  std::string TransferSource;
 };
 
-/** The head of an upstream's answer. */
-struct gsAnswerHead
+/** The parsed head of an upstream's response. */
+struct gsResponseHead
 {
-  std::string RequestId;    ///< That it answers; empty when it names none.
-  bool NotExecuted = false; ///< The upstream says that it ran nothing.
-  bool Signed = false;      ///< It carries the upstream's signature.
-  /** Longest rest of the connection before the upstream closes it. */
-  std::optional<gsTime> KeepIdle;
-  /** What the upstream that answers says of itself. Nothing in an answer of
-   * another upstream than the one that was meant. */
-  gsUpstreamWord Word;
-  gsHeaders Headers; ///< To pass on to the caller.
+  std::string RequestId;    ///< Request that it answers; empty if not given.
+  bool NotExecuted = false; ///< The upstream did not execute the request.
+  bool IsSigned = false;    ///< It carries the upstream's signature.
+  /** Maximum idle time of the connection before the upstream closes it. */
+  std::optional<gsTime> MaxConnectionIdle;
+  /** What the responding upstream announces about itself. Empty if another
+   * upstream than the intended one responded. */
+  gsUpstreamAnnouncement Announcement;
+  gsHeaders Headers; ///< Headers to forward to the caller.
 };
 
-/** An answer about rows. */
+/** The content of a successful response to a read or a watch. */
 struct gsTablePage
 {
   std::vector<gsTableRow> Rows;
-  std::uint64_t Version = 0; ///< Up to which it tells all.
-  bool More = false;         ///< The read goes on after the last row.
+  std::uint64_t Version = 0; ///< All changes up to it are included.
+  bool HasMore = false;      ///< The read continues after the last row.
 };
 
-/** How a call to a table ended, when it did not bring rows. */
-enum class gsTableFault
+/** Why a read or a watch of a table returned no rows. */
+enum class gsTableReadError
 {
-  HistoryGone, ///< A watch cannot go on from the asked version.
-  TurnedAway,  ///< The platform answered and did nothing.
-  NoAnswer,    ///< None, or none that can be read.
+  HistoryExpired, ///< A watch cannot continue from the requested version.
+  Rejected,       ///< The platform responded without performing the call.
+  NoAnswer,       ///< No response, or one that cannot be parsed.
 };
 
-/** Rows, or why there are none. */
-struct gsTableAnswer
+/** The result of a read or a watch: a page, or the error. */
+struct gsTableReadResult
 {
-  std::optional<gsTablePage> Page;
-  gsTableFault Fault = gsTableFault::NoAnswer;
-  std::string Detail; ///< One sentence, for the log.
+  std::optional<gsTablePage> Page; ///< Empty on failure.
+  gsTableReadError Error =
+    gsTableReadError::NoAnswer; ///< Valid if Page is empty.
+  std::string Detail;           ///< One sentence for the log, on failure.
 };
 
-/** A write of one row, on the condition that it is as expected. */
+/** A write of one row that succeeds only if the row has a given version. */
 struct gsRowWrite
 {
   std::string Table;
   std::string Key;
-  std::uint64_t Expected = 0; ///< Version that it must have; 0 for no row.
+  std::uint64_t ExpectedVersion =
+    0; ///< Required version; 0 if no row may exist.
   std::string Value;
-  std::vector<std::string> Remove; ///< Keys of the same table.
+  std::vector<std::string> KeysToRemove; ///< Keys of the same table to remove.
 };
 
-/** How a write ended. */
-struct gsRowWritten
+/** The result of a write. */
+struct gsRowWriteResult
 {
   enum class Kind
   {
-    Written,    ///< Version is the row's.
-    Conflict,   ///< Nothing was done; Row is as it stands, if there is one.
-    TurnedAway, ///< Nothing was done.
-    NoAnswer    ///< It may have been done, or be done later.
+    Written,  ///< Version is the row's new version.
+    Conflict, ///< Not executed; Row is the current row, if there is one.
+    Rejected, ///< Not executed.
+    NoAnswer  ///< It may have been executed, or be executed later.
   };
-  Kind Is = Kind::NoAnswer;
-  std::uint64_t Version = 0;
-  std::optional<gsTableRow> Row;
-  std::string Detail; ///< One sentence, for the log.
+  Kind Outcome = Kind::NoAnswer;
+  std::uint64_t Version = 0; ///< Valid if the row was written.
+  std::optional<gsTableRow> CurrentRow;
+  std::string Detail; ///< One sentence for the log, on failure.
 };
 
-/** By what a host may do a duty of which the platform takes calls. */
-struct gsDutyProof
+/** Sent with each call that only the holder of the lease on duties may make,
+ * so that the platform refuses calls of earlier holders. */
+struct gsLeaseProof
 {
-  std::string Holder;      ///< This host.
-  std::uint64_t Token = 0; ///< Fencing token of its lease.
+  std::string Holder;             ///< Name of this host.
+  std::uint64_t FencingToken = 0; ///< Fencing token of its lease.
 };
 
-/** How many upstreams a service shall have in a hall. */
+/** The desired number of upstreams of a service in a hall. */
 struct gsUpstreamOrder
 {
   std::string Service;
   std::string Hall;
   std::uint32_t Count = 0;
-  bool Withdrawable = false; ///< Of those that may be taken away.
+  /** The order is for upstreams that the platform may withdraw. */
+  bool Withdrawable = false;
 };
 
-/** How a call on a duty ended. */
-enum class gsDutyAnswer
+/** The result of a call that only the holder of the lease may make. */
+enum class gsDutyCallResult
 {
-  Taken,
-  HigherToken, ///< Another host has used a higher token.
-  NoneThere,   ///< No upstreams of the kind are to be had there now.
-  TurnedAway,  ///< Nothing was done, for a while or for its form.
-  NoAnswer     ///< It may have been done, or be done later.
+  Accepted,    ///< The platform accepted the call.
+  StaleToken,  ///< Another host has used a higher fencing token.
+  Unavailable, ///< The platform has no upstreams of this kind to offer now.
+  Rejected,    ///< Not executed: rejected temporarily or as malformed.
+  NoAnswer     ///< It may have been executed, or be executed later.
 };
 
-/** Which tables and rows hold what. */
+/** Names of the platform's tables and of rows in them. */
 struct gsTableNames
 {
-  std::string Routes;    ///< Table of the configuration,
-  std::string RoutesKey; ///< and its key there.
-  /** Begin of the keys of the same table that each name a hall which gets
-   * nothing new. */
+  std::string Routes;    ///< Table that contains the configuration.
+  std::string RoutesKey; ///< Key of the configuration in that table.
+  /** Prefix of the keys in the same table that each name an evacuated hall,
+   * which receives no new requests. */
   std::string EvacuatedPrefix;
-  std::string Upstreams;  ///< Table of upstreams; keys are their ids.
-  std::string Lease;      ///< Own table of the lease on duties,
-  std::string LeaseKey;   ///< and its key there.
-  std::string Usage;      ///< Own table of counts that are being reported.
-  std::string Quarantine; ///< Own table of requests that are refused.
+  std::string Upstreams;  ///< Table of upstreams, keyed by their ids.
+  std::string Lease;      ///< Table of the lease on duties.
+  std::string LeaseKey;   ///< Key of the lease in that table.
+  std::string Usage;      ///< Table of usage counts that are being reported.
+  std::string Quarantine; ///< Table of quarantined requests.
 };
 
-/** All that the routed mode asks of a platform. */
+/** All operations that the routed mode needs from a platform. */
 struct gsAdapter
 {
-  // What callers send.
+  // Requests of callers.
   std::function<gsResult<gsCallerRequest>(gsHttpExchange& exchange)>
-    ReadRequest;
-  std::function<bool(gsHttpExchange const& exchange)> AsksReady;
+    ParseRequest;
+  std::function<bool(gsHttpExchange const& exchange)> IsReadinessProbe;
 
-  // What upstreams are sent, and what they answer.
+  // Requests to upstreams, and their responses.
   std::function<gsHeaders(gsCallerRequest const& request,
-                          gsAttemptFacts const& facts)>
-    AttemptHeaders;
-  std::function<gsAnswerHead(unsigned status, gsHeaders const& headers)>
-    ReadAnswer;
+                          gsAttemptMetadata const& facts)>
+    MakeAttemptHeaders;
+  std::function<gsResponseHead(unsigned status, gsHeaders const& headers)>
+    ParseResponseHead;
 
   // The platform's tables.
   gsTableNames Tables;
   std::function<gsCall(std::string_view platform, std::string_view table,
                        std::string_view fromKey)>
-    ReadTable;
+    MakeReadCall;
   std::function<gsCall(std::string_view platform, std::string_view table,
                        std::uint64_t after, gsTime wait)>
-    WatchTable;
-  std::function<gsTableAnswer(gsAnswer const& answer)> ReadPage;
-  std::function<gsResult<gsRouteTable>(std::string_view text)> ReadRoutes;
+    MakeWatchCall;
+  std::function<gsTableReadResult(gsAnswer const& answer)> ParseTableResponse;
+  std::function<gsResult<gsRouteTable>(std::string_view text)> ParseRoutes;
   std::function<gsResult<gsListedUpstream>(std::string_view id,
                                            std::string_view text)>
-    ReadUpstream;
-  /** An upstream's row as the platform has it, for hosts that read no other
-   * form; what hosts do not keep of it is filled in. */
-  std::function<std::string(gsListedUpstream const& upstream)> WriteUpstream;
+    ParseUpstream;
+  /** Formats an upstream's row as the platform does, for hosts that read no
+   * other format. Fields that hosts do not store are filled in with
+   * placeholders. */
+  std::function<std::string(gsListedUpstream const& upstream)> FormatUpstream;
   std::function<gsCall(std::string_view platform, gsRowWrite const& write)>
-    WriteRow;
-  std::function<gsRowWritten(gsAnswer const& answer, gsRowWrite const& write)>
-    ReadWritten;
+    MakeWriteCall;
+  std::function<gsRowWriteResult(gsAnswer const& answer,
+                                 gsRowWrite const& write)>
+    ParseWriteResponse;
 
-  // Duties that one host at a time has towards the platform.
-  std::function<gsCall(std::string_view address, gsDutyProof const& proof,
+  // Duties towards the platform, performed by one host at a time.
+  std::function<gsCall(std::string_view address, gsLeaseProof const& proof,
                        std::uint64_t window, gsUsageCounts const& counts)>
-    ReportUsage;
-  std::function<gsCall(std::string_view address, gsDutyProof const& proof,
+    MakeUsageReportCall;
+  std::function<gsCall(std::string_view address, gsLeaseProof const& proof,
                        gsUpstreamOrder const& order)>
-    OrderUpstreams;
-  std::function<gsDutyAnswer(gsAnswer const& answer, bool order)>
-    ReadDutyAnswer;
+    MakeUpstreamOrderCall;
+  std::function<gsDutyCallResult(gsAnswer const& answer, bool order)>
+    ParseDutyResponse;
 };
 
 /** The adapter that this build contains; defined in the folder platform/. */
--- a/Source/Daemon/gsCluster.cxx
+++ b/Source/Daemon/gsCluster.cxx
@@ -11,12 +11,17 @@
 namespace {
 
 constexpr gsTime TickPeriod = gsMilliseconds(50);
-constexpr gsTime MeetPeriodAlone = gsMilliseconds(300);
-constexpr gsTime MeetPeriod = gsSeconds(5);
-constexpr gsTime DistrustTime = gsSeconds(3);
+/** Interval for contacting unknown addresses while no member is known. */
+constexpr gsTime ContactPeriodAlone = gsMilliseconds(300);
+/** Interval for contacting unknown addresses otherwise. */
+constexpr gsTime ContactPeriod = gsSeconds(5);
+/** Time for which an excluded host dispatches no pool. */
+constexpr gsTime ExclusionTime = gsSeconds(3);
 constexpr gsTime HeartbeatPeriod = gsMilliseconds(200);
-constexpr gsTime HeartbeatLimit = gsMilliseconds(700);
-constexpr std::uint32_t CarryFactor = 3;
+/** A monitored host is excluded after this time without a frame. */
+constexpr gsTime HeartbeatTimeout = gsMilliseconds(700);
+/** Times log2 of the cluster size: frames that carry a leaving notice. */
+constexpr std::uint32_t SendCountFactor = 3;
 
 } // namespace
 
@@ -34,11 +39,11 @@
   self.Hall = settings.Hall;
   self.Address = settings.Peers.Announce;
   self.Incarnation = incarnation;
-  // Until it has a configuration it must not be asked for work.
+  // Hosts must not request work from this host until it has a configuration.
   self.State = gsMemberState::Leaving;
   gsMembershipStart(this->Table, std::move(self), gsLoop::Now());
-  this->Addresses.insert(settings.Peers.Seeds.begin(),
-                         settings.Peers.Seeds.end());
+  this->KnownAddresses.insert(settings.Peers.Seeds.begin(),
+                              settings.Peers.Seeds.end());
 }
 
 gsCluster::~gsCluster() = default;
@@ -76,7 +81,7 @@
   return true;
 }
 
-void gsCluster::Header(gradescale::Frame& frame)
+void gsCluster::SetHeader(gradescale::Frame& frame)
 {
   frame.set_host(this->Table.Self.Host);
   frame.set_incarnation(this->Table.Self.Incarnation);
@@ -92,7 +97,7 @@
   gradescale::Frame* frame =
     this->Peers ? this->Peers->Outgoing(link) : nullptr;
   if (frame != nullptr) {
-    this->Header(*frame);
+    this->SetHeader(*frame);
   }
   return frame;
 }
@@ -106,17 +111,17 @@
   return this->OnLink(this->Peers->LinkTo(member->Address));
 }
 
-void gsCluster::TakeWork()
+void gsCluster::AnnounceAccepting()
 {
   this->AnnounceState(gsMemberState::Alive);
 }
 
-void gsCluster::Leave()
+void gsCluster::AnnounceLeaving()
 {
   this->AnnounceState(gsMemberState::Leaving);
 }
 
-/** Tells all hosts at once, so that pools move without a wait. */
+/** Sends the state to all hosts at once, so that pools move without delay. */
 void gsCluster::AnnounceState(gsMemberState state)
 {
   gsMembershipSetState(this->Table, state);
@@ -137,7 +142,7 @@
   std::vector<std::string_view> hosts = gsAliveHosts(this->Table, hall);
   hosts.erase(std::remove_if(hosts.begin(), hosts.end(),
                              [this](std::string_view host) {
-                               return this->Distrusted.count(
+                               return this->ExcludedUntil.count(
                                         std::string(host)) != 0;
                              }),
               hosts.end());
@@ -148,66 +153,66 @@
   return hall == this->Table.Self.Hall ? this->Table.Self.Host : std::string();
 }
 
-void gsCluster::Expect(std::string const& host, bool expect)
+void gsCluster::SetHeartbeats(std::string const& host, bool enabled)
 {
-  Watched& watched = this->Watch[host];
-  if (expect && !watched.Expecting) {
-    watched.Heard = gsLoop::Now();
-    watched.Pinged = watched.Heard;
+  MonitoredHost& monitored = this->MonitoredHosts[host];
+  if (enabled && !monitored.HeartbeatsEnabled) {
+    monitored.LastReceived = gsLoop::Now();
+    monitored.LastPinged = monitored.LastReceived;
   }
-  watched.Expecting = expect;
+  monitored.HeartbeatsEnabled = enabled;
 }
 
-void gsCluster::Distrust(std::string const& host, char const* cause)
+void gsCluster::ExcludeHost(std::string const& host, char const* cause)
 {
   gsTime now = gsLoop::Now();
-  this->Distrusted[host] = now + DistrustTime;
+  this->ExcludedUntil[host] = now + ExclusionTime;
   gsMembershipOutput out;
   gsMembershipSuspect(this->Table, host, cause, now, out);
-  this->Carry(out);
+  this->SendOutput(out);
   gsLogLine("host_lost", gsLogLevel::Warn)
     .With("host", host)
     .With("cause", cause);
-  this->Events.OnHostLost(host);
+  this->Events.OnHostExcluded(host);
 }
 
-void gsCluster::WatchExpected(gsTime now)
+void gsCluster::CheckHeartbeats(gsTime now)
 {
   std::vector<std::string> silent;
-  for (auto& [host, watched] : this->Watch) {
-    if (!watched.Expecting) {
+  for (auto& [host, monitored] : this->MonitoredHosts) {
+    if (!monitored.HeartbeatsEnabled) {
       continue;
     }
-    if (now - watched.Heard > HeartbeatLimit) {
+    if (now - monitored.LastReceived > HeartbeatTimeout) {
       silent.push_back(host);
-      watched.Expecting = false;
+      monitored.HeartbeatsEnabled = false;
       continue;
     }
-    if (now - watched.Pinged >= HeartbeatPeriod) {
-      watched.Pinged = now;
+    if (now - monitored.LastPinged >= HeartbeatPeriod) {
+      monitored.LastPinged = now;
       if (gradescale::Frame* frame = this->ToHost(host)) {
-        frame->add_pings(); // Sequence 0: answered, but no probe waits.
+        frame->add_pings(); // Sequence 0: acknowledged, but matches no probe.
       }
     }
   }
   for (std::string const& host : silent) {
-    this->Distrust(host, "silent");
+    this->ExcludeHost(host, "silent");
   }
 }
 
-void gsCluster::Meet(std::vector<std::string> addresses)
+void gsCluster::AddAddresses(std::vector<std::string> addresses)
 {
-  this->Addresses.insert(addresses.begin(), addresses.end());
+  this->KnownAddresses.insert(addresses.begin(), addresses.end());
 }
 
-void gsCluster::MeetUnknown(gsTime now)
+void gsCluster::ContactUnknown(gsTime now)
 {
-  if (now < this->NextMeet) {
+  if (now < this->NextContact) {
     return;
   }
   bool alone = this->Table.Members.empty();
-  this->NextMeet = now + (alone ? MeetPeriodAlone : MeetPeriod);
-  std::set<std::string> unknown = this->Addresses;
+  this->NextContact = now + (alone ? ContactPeriodAlone : ContactPeriod);
+  std::set<std::string> unknown = this->KnownAddresses;
   unknown.erase(this->Table.Self.Address);
   for (gsMember const& member : this->Table.Members) {
     unknown.erase(member.Address);
@@ -224,46 +229,48 @@
 void gsCluster::Tick()
 {
   gsTime now = gsLoop::Now();
-  for (auto row = this->Distrusted.begin(); row != this->Distrusted.end();) {
-    row = row->second <= now ? this->Distrusted.erase(row) : std::next(row);
+  for (auto row = this->ExcludedUntil.begin();
+       row != this->ExcludedUntil.end();) {
+    row = row->second <= now ? this->ExcludedUntil.erase(row) : std::next(row);
   }
   gsMembershipOutput out;
   gsMembershipTick(this->Table, now, this->Random, out);
-  this->Carry(out);
-  this->WatchExpected(now);
-  this->MeetUnknown(now);
+  this->SendOutput(out);
+  this->CheckHeartbeats(now);
+  this->ContactUnknown(now);
 }
 
-std::uint32_t gsCluster::CarryCount() const
+std::uint32_t gsCluster::UpdateSendCount() const
 {
   double size = static_cast<double>(this->Table.Members.size()) + 2;
-  return CarryFactor * static_cast<std::uint32_t>(std::ceil(std::log2(size)));
+  return SendCountFactor *
+         static_cast<std::uint32_t>(std::ceil(std::log2(size)));
 }
 
-/** Adds the news that every probe carries along. */
-void gsCluster::Announce(gradescale::Frame& frame)
+/** Adds the pending gossip updates that are attached to every probe. */
+void gsCluster::AddPendingUpdates(gradescale::Frame& frame)
 {
-  for (gsMember const& member : gsMembershipNews(this->Table)) {
+  for (gsMember const& member : gsMembershipNextUpdates(this->Table)) {
     gsToWire(member, frame.add_members());
   }
-  for (auto& [upstream, news] : this->Leaving) {
-    if (news.Carry > 0) {
-      --news.Carry;
+  for (auto& [upstream, notice] : this->Leaving) {
+    if (notice.RemainingSends > 0) {
+      --notice.RemainingSends;
       gradescale::Leaving* wire = frame.add_leaving();
       wire->set_upstream(upstream);
-      wire->set_incarnation(news.Incarnation);
+      wire->set_incarnation(notice.Incarnation);
     }
   }
 }
 
-void gsCluster::Carry(gsMembershipOutput const& out)
+void gsCluster::SendOutput(gsMembershipOutput const& out)
 {
   for (gsProbeMessage const& message : out.Messages) {
     gradescale::Frame* frame = this->ToHost(message.To);
     if (frame == nullptr) {
       continue;
     }
-    switch (message.What) {
+    switch (message.Type) {
       case gsProbeMessage::Kind::Ping:
         frame->add_pings()->set_sequence(message.Sequence);
         break;
@@ -280,20 +287,20 @@
         break;
       }
     }
-    this->Announce(*frame);
+    this->AddPendingUpdates(*frame);
   }
   for (gsMemberChange const& change : out.Changes) {
-    if (change.Before == gsMemberState::Dead) {
-      // It has come back; what was held against it is over.
-      this->Distrusted.erase(change.Host);
+    if (change.OldState == gsMemberState::Dead) {
+      // The host has recovered; its exclusion ends.
+      this->ExcludedUntil.erase(change.Host);
     }
-    if (change.After == gsMemberState::Dead) {
+    if (change.NewState == gsMemberState::Dead) {
       this->DropLinksOf(change.Host);
     }
     gsLogLine("member")
       .With("host", change.Host)
-      .With("before", gsMemberStateWord(change.Before))
-      .With("after", gsMemberStateWord(change.After))
+      .With("before", gsMemberStateName(change.OldState))
+      .With("after", gsMemberStateName(change.NewState))
       .With("cause", change.Cause);
   }
   if (!out.Changes.empty()) {
@@ -301,7 +308,7 @@
   }
 }
 
-/** What a dead host asked for and runs holds no slots any longer. */
+/** Reports the links of a dead host as down, which frees its slots. */
 void gsCluster::DropLinksOf(std::string const& host)
 {
   for (auto const& [link, other] : this->LinkHosts) {
@@ -311,28 +318,29 @@
   }
 }
 
-void gsCluster::Learn(gradescale::Frame const& frame, gsMembershipOutput& out)
+void gsCluster::ProcessUpdates(gradescale::Frame const& frame,
+                               gsMembershipOutput& out)
 {
   gsTime now = gsLoop::Now();
   for (gradescale::Member const& wire : frame.members()) {
-    gsMembershipLearn(this->Table, gsFromWire(wire), now, out);
+    gsMembershipApplyUpdate(this->Table, gsFromWire(wire), now, out);
   }
   for (gradescale::Leaving const& wire : frame.leaving()) {
-    this->NoteLeaving(wire.upstream(), wire.incarnation());
+    this->RecordLeaving(wire.upstream(), wire.incarnation());
   }
 }
 
 void gsCluster::OnFrame(std::uint64_t link, gradescale::Frame const& frame)
 {
   gsTime now = gsLoop::Now();
-  this->Heard = now;
+  this->LastFrameAt = now;
   this->LinkHosts[link] = frame.host();
-  auto watched = this->Watch.find(frame.host());
-  if (watched != this->Watch.end()) {
-    watched->second.Heard = now;
+  auto monitored = this->MonitoredHosts.find(frame.host());
+  if (monitored != this->MonitoredHosts.end()) {
+    monitored->second.LastReceived = now;
   }
   gsMembershipOutput out;
-  this->Learn(frame, out);
+  this->ProcessUpdates(frame, out);
   for (gradescale::Ping const& ping : frame.pings()) {
     gsMembershipOnPing(this->Table, frame.host(), ping.sequence(), out);
   }
@@ -344,12 +352,12 @@
     gsMembershipOnPingRequest(this->Table, frame.host(), request.sequence(),
                               request.target(), now, out);
   }
-  // Answers go back on the same link: the other direction may be cut.
+  // Replies use the same link, as the opposite direction may be unreachable.
   gradescale::Frame* answer = nullptr;
   for (auto message = out.Messages.begin(); message != out.Messages.end();) {
-    bool back = message->What == gsProbeMessage::Kind::Ack &&
-                message->To == frame.host();
-    if (!back) {
+    bool returnsToSender = message->Type == gsProbeMessage::Kind::Ack &&
+                           message->To == frame.host();
+    if (!returnsToSender) {
       ++message;
       continue;
     }
@@ -362,11 +370,11 @@
     message = out.Messages.erase(message);
   }
   if (answer != nullptr) {
-    this->Announce(*answer);
+    this->AddPendingUpdates(*answer);
   }
   bool unknown = gsFindMember(this->Table, frame.host()) == nullptr;
   if (unknown ||
-      gsMembershipWantsSync(this->Table, frame.members_digest(), now)) {
+      gsMembershipNeedsSync(this->Table, frame.members_digest(), now)) {
     answer = answer == nullptr ? this->OnLink(link) : answer;
     if (answer != nullptr) {
       answer->set_wants_members(true);
@@ -379,14 +387,14 @@
       for (gsMember const& member : this->Table.Members) {
         gsToWire(member, answer->add_members());
       }
-      for (auto const& [upstream, news] : this->Leaving) {
+      for (auto const& [upstream, notice] : this->Leaving) {
         gradescale::Leaving* wire = answer->add_leaving();
         wire->set_upstream(upstream);
-        wire->set_incarnation(news.Incarnation);
+        wire->set_incarnation(notice.Incarnation);
       }
     }
   }
-  this->Carry(out);
+  this->SendOutput(out);
   this->Events.OnFrame(frame.host(), link, frame);
 }
 
@@ -397,30 +405,30 @@
     this->Events.OnLinkDown(link);
     return;
   }
-  // A link that this host dialled: whoever is behind it is lost for now.
+  // This host dialled the link, so the host at its address is unreachable.
   for (gsMember const& member : this->Table.Members) {
-    bool counts = member.Address == address &&
-                  member.State != gsMemberState::Dead &&
-                  member.Hall == this->Table.Self.Hall;
-    if (counts ||
-        (member.Address == address && this->Watch[member.Host].Expecting)) {
+    bool isHallPeer = member.Address == address &&
+                      member.State != gsMemberState::Dead &&
+                      member.Hall == this->Table.Self.Hall;
+    if (isHallPeer || (member.Address == address &&
+                       this->MonitoredHosts[member.Host].HeartbeatsEnabled)) {
       std::string host = member.Host;
-      this->Watch[host].Expecting = false;
-      this->Distrust(host, "link_broken");
+      this->MonitoredHosts[host].HeartbeatsEnabled = false;
+      this->ExcludeHost(host, "link_broken");
       return;
     }
   }
 }
 
-void gsCluster::NoteLeaving(std::string const& upstream,
-                            std::string const& incarnation)
+void gsCluster::RecordLeaving(std::string const& upstream,
+                              std::string const& incarnation)
 {
   auto known = this->Leaving.find(upstream);
   if (known != this->Leaving.end() &&
       known->second.Incarnation == incarnation) {
     return;
   }
-  this->Leaving[upstream] = { incarnation, this->CarryCount() };
+  this->Leaving[upstream] = { incarnation, this->UpdateSendCount() };
   gsLogLine("upstream_leaving")
     .With("upstream", upstream)
     .With("incarnation", incarnation);
@@ -435,7 +443,7 @@
          known->second.Incarnation == incarnation;
 }
 
-void gsCluster::ProbeNow()
+void gsCluster::PingAllHosts()
 {
   for (gsMember const& member : this->Table.Members) {
     if (member.State == gsMemberState::Dead) {
--- a/Source/Daemon/gsConfigStore.cxx
+++ b/Source/Daemon/gsConfigStore.cxx
@@ -10,10 +10,14 @@
 
 constexpr gsTime TickPeriod = gsMilliseconds(100);
 constexpr gsTime CommitRetry = gsMilliseconds(200);
-constexpr gsTime CommitPatience = gsSeconds(5);
-constexpr std::uint64_t PollRows = 16;
-constexpr std::uint64_t SnapshotEvery = 32;
-constexpr std::size_t MaxRecent = 256;
+/** Time after which an unanswered commit is reported as not known. */
+constexpr gsTime CommitTimeout = gsSeconds(5);
+/** Rows read per poll while this host is behind. */
+constexpr std::uint64_t CatchUpRows = 16;
+/** Number of versions between snapshots. */
+constexpr std::uint64_t SnapshotInterval = 32;
+/** Number of changes held for peers that are behind. */
+constexpr std::size_t MaxRecentChanges = 256;
 constexpr char const* SnapshotPointer = "config/snapshot";
 
 std::string ChangeKey(std::uint64_t version)
@@ -32,7 +36,7 @@
                              gsReplicaSettings settings, Hooks hooks)
   : Loop(loop)
   , Platform(platform)
-  , Call(std::move(hooks))
+  , Callbacks(std::move(hooks))
   , Timer(loop, [this] { this->Tick(); })
   , Retry(loop, [this] { this->CommitNext(); })
 {
@@ -48,13 +52,13 @@
 
 void gsConfigStore::Tick()
 {
-  gsReplicaOutput out;
+  gsReplicaActions out;
   gsReplicaTick(this->Replica, gsLoop::Now(), out);
   if (out.PollPlatform) {
     this->Poll();
   }
-  if (!out.FetchFrom.empty()) {
-    this->Call.FetchFromPeer(out.FetchFrom, this->Replica.Version);
+  if (!out.FetchPeer.empty()) {
+    this->Callbacks.FetchFromPeer(out.FetchPeer, this->Replica.Version);
   }
 }
 
@@ -63,88 +67,89 @@
   this->Poll();
 }
 
-void gsConfigStore::Load()
+void gsConfigStore::LoadSnapshotPointer()
 {
-  this->Polling = true;
-  std::vector<gsTableOp> ops{
-    { gsTableOp::Kind::Get, SnapshotPointer, {}, {} }
+  this->ReadPending = true;
+  std::vector<gsTableOperation> ops{
+    { gsTableOperation::Kind::Get, SnapshotPointer, {}, {} }
   };
   this->Platform.Transact(ops, [this](gsPlatform::Results const& results) {
-    this->Polling = false;
+    this->ReadPending = false;
     if (!results) {
-      this->Call.OnPlatformError(results.error());
+      this->Callbacks.OnPlatformError(results.error());
       return;
     }
-    if (results.value()[0].Current) {
-      this->LoadSnapshot(*results.value()[0].Current);
+    if (results.value()[0].CurrentValue) {
+      this->LoadSnapshot(*results.value()[0].CurrentValue);
       return;
     }
-    this->Loaded = true;
+    this->SnapshotChecked = true;
     this->Poll();
   });
 }
 
 void gsConfigStore::LoadSnapshot(std::string const& pointer)
 {
-  this->Polling = true;
-  std::vector<gsTableOp> ops{
-    { gsTableOp::Kind::Get, SnapshotKey(pointer), {}, {} }
+  this->ReadPending = true;
+  std::vector<gsTableOperation> ops{
+    { gsTableOperation::Kind::Get, SnapshotKey(pointer), {}, {} }
   };
   this->Platform.Transact(ops, [this](gsPlatform::Results const& results) {
-    this->Polling = false;
+    this->ReadPending = false;
     if (!results) {
-      this->Call.OnPlatformError(results.error());
+      this->Callbacks.OnPlatformError(results.error());
       return;
     }
-    if (results.value()[0].Current) {
-      this->TakeDocument(*results.value()[0].Current);
+    if (results.value()[0].CurrentValue) {
+      this->ApplyDocument(*results.value()[0].CurrentValue);
     }
-    this->Loaded = true;
+    this->SnapshotChecked = true;
     this->Poll();
   });
 }
 
 void gsConfigStore::Poll()
 {
-  if (this->Polling) {
+  if (this->ReadPending) {
     return;
   }
-  if (!this->Loaded) {
-    this->Load();
+  if (!this->SnapshotChecked) {
+    this->LoadSnapshotPointer();
     return;
   }
-  this->Polling = true;
-  bool catchUp = !this->Replica.Ready ||
-                 this->Replica.HeardVersion > this->Replica.Version + 1;
-  std::uint64_t rows = catchUp ? PollRows : 1;
+  this->ReadPending = true;
+  bool isBehind = !this->Replica.HasDocument ||
+                  this->Replica.MaxPeerVersion > this->Replica.Version + 1;
+  std::uint64_t rows = isBehind ? CatchUpRows : 1;
   std::uint64_t first = this->Replica.Version + 1;
-  std::vector<gsTableOp> ops;
+  std::vector<gsTableOperation> ops;
   for (std::uint64_t i = 0; i < rows; ++i) {
-    ops.push_back({ gsTableOp::Kind::Get, ChangeKey(first + i), {}, {} });
+    ops.push_back(
+      { gsTableOperation::Kind::Get, ChangeKey(first + i), {}, {} });
   }
   this->Platform.Transact(
     ops, [this, first, rows](gsPlatform::Results const& results) {
-      this->Polling = false;
+      this->ReadPending = false;
       if (!results) {
-        this->Call.OnPlatformError(results.error());
+        this->Callbacks.OnPlatformError(results.error());
         return;
       }
-      this->Polled = gsLoop::Now();
-      gsReplicaPolled(this->Replica);
+      this->LastPollAt = gsLoop::Now();
+      gsReplicaRecordPoll(this->Replica);
       std::vector<std::string> changes;
       for (gsTableResult const& result : results.value()) {
-        if (!result.Current) {
+        if (!result.CurrentValue) {
           break;
         }
-        changes.push_back(*result.Current);
+        changes.push_back(*result.CurrentValue);
       }
       bool more = changes.size() == rows;
-      this->TakeChanges(first - 1, changes);
+      this->ApplyChanges(first - 1, changes);
       if (more) {
         this->Poll();
-      } else if (!this->Replica.Ready) {
-        // The platform has no configuration yet: the empty one it is.
-        this->PutInForce(this->Current);
+      } else if (!this->Replica.HasDocument) {
+        // The platform has no configuration yet, so the empty one is used.
+        this->Activate(this->Current);
       }
     });
 }
@@ -162,17 +167,17 @@
       .With(applied.error());
     return false;
   }
-  this->Recent.push_back(change);
-  if (this->Recent.size() > MaxRecent) {
-    this->Recent.pop_front();
+  this->RecentChanges.push_back(change);
+  if (this->RecentChanges.size() > MaxRecentChanges) {
+    this->RecentChanges.pop_front();
   }
-  this->PutInForce(std::move(next));
+  this->Activate(std::move(next));
   return true;
 }
 
-void gsConfigStore::PutInForce(gsDocument document)
+void gsConfigStore::Activate(gsDocument document)
 {
-  if (!gsReplicaOffer(this->Replica, document.Version)) {
+  if (!gsReplicaAdvance(this->Replica, document.Version)) {
     return;
   }
   this->Current = std::move(document);
@@ -181,12 +186,12 @@
     .With("change", this->Current.Changes.empty()
                       ? std::string()
                       : this->Current.Changes.back().Id);
-  this->Call.OnChanged();
+  this->Callbacks.OnChanged();
 }
 
-void gsConfigStore::HearVersion(std::string_view peer, std::uint64_t version)
+void gsConfigStore::OnPeerVersion(std::string_view peer, std::uint64_t version)
 {
-  gsReplicaHear(this->Replica, peer, version);
+  gsReplicaReceiveVersion(this->Replica, peer, version);
   if (version > this->Replica.Version) {
     this->Tick();
   }
@@ -196,15 +201,15 @@
   std::uint64_t version) const
 {
   std::uint64_t count = this->Replica.Version - version;
-  if (version >= this->Replica.Version || count > this->Recent.size()) {
+  if (version >= this->Replica.Version || count > this->RecentChanges.size()) {
     return {};
   }
-  return { this->Recent.end() - static_cast<std::ptrdiff_t>(count),
-           this->Recent.end() };
+  return { this->RecentChanges.end() - static_cast<std::ptrdiff_t>(count),
+           this->RecentChanges.end() };
 }
 
-void gsConfigStore::TakeChanges(std::uint64_t above,
-                                std::vector<std::string> const& changes)
+void gsConfigStore::ApplyChanges(std::uint64_t above,
+                                 std::vector<std::string> const& changes)
 {
   std::uint64_t version = above;
   for (std::string const& change : changes) {
@@ -214,26 +219,26 @@
   }
 }
 
-void gsConfigStore::TakeDocument(std::string_view text)
+void gsConfigStore::ApplyDocument(std::string_view text)
 {
   gsResult<gsDocument> document = gsDocumentFromText(text, "configuration");
   if (!document) {
     gsLogLine("config_unreadable", gsLogLevel::Error).With(document.error());
     return;
   }
-  if (this->Replica.Ready &&
+  if (this->Replica.HasDocument &&
       document.value().Version <= this->Replica.Version) {
     return;
   }
-  this->Recent.clear();
-  this->PutInForce(std::move(document.value()));
+  this->RecentChanges.clear();
+  this->Activate(std::move(document.value()));
 }
 
 void gsConfigStore::Submit(std::string change, Done done)
 {
   this->Submissions.push_back(
     { std::move(change), std::move(done), gsLoop::Now() });
-  if (!this->Committing) {
+  if (!this->CommitPending) {
     this->CommitNext();
   }
 }
@@ -242,9 +247,9 @@
 {
   Submission submission = std::move(this->Submissions.front());
   this->Submissions.pop_front();
-  this->Committing = false;
-  submission.Finish(result);
-  if (!this->Submissions.empty() && !this->Committing) {
+  this->CommitPending = false;
+  submission.OnDone(result);
+  if (!this->Submissions.empty() && !this->CommitPending) {
     this->CommitNext();
   }
 }
@@ -252,12 +257,12 @@
 void gsConfigStore::CommitNext()
 {
   if (this->Submissions.empty()) {
-    this->Committing = false;
+    this->CommitPending = false;
     return;
   }
-  this->Committing = true;
+  this->CommitPending = true;
   Submission const& submission = this->Submissions.front();
-  if (!this->Replica.Ready) {
+  if (!this->Replica.HasDocument) {
     this->FinishSubmission(gsError{
       "not_ready", "This host has no configuration yet.", "change", {} });
     return;
@@ -274,8 +279,8 @@
     return;
   }
   std::uint64_t version = next.Version;
-  std::vector<gsTableOp> ops{
-    { gsTableOp::Kind::Insert, ChangeKey(version), submission.Text, {} }
+  std::vector<gsTableOperation> ops{
+    { gsTableOperation::Kind::Insert, ChangeKey(version), submission.Text, {} }
   };
   this->Platform.Transact(ops,
                           [this, version](gsPlatform::Results const& results) {
@@ -288,9 +293,10 @@
 {
   Submission const& submission = this->Submissions.front();
   if (!results) {
-    // It may have taken effect. The same insert again settles that.
-    this->Call.OnPlatformError(results.error());
-    if (gsLoop::Now() - submission.Since > CommitPatience) {
+    // The insert may have taken effect. Repeating it is safe and shows whether
+    // it did.
+    this->Callbacks.OnPlatformError(results.error());
+    if (gsLoop::Now() - submission.SubmittedAt > CommitTimeout) {
       this->FinishSubmission(gsError{
         "not_known",
         "The platform does not answer; the change may or may not have been "
@@ -301,46 +307,53 @@
     this->Retry.Once(CommitRetry);
     return;
   }
-  std::string const row = results.value()[0].Current.value_or(std::string());
+  std::string const row =
+    results.value()[0].CurrentValue.value_or(std::string());
   if (!this->Apply(version, row)) {
     this->FinishSubmission(gsError{
       "unreadable", "The platform's row cannot be read.", "commit", {} });
     return;
   }
   if (row != submission.Text) {
-    // Another operator was first: look at the change anew.
+    // Another change took this version; validate this one again.
     this->CommitNext();
     return;
   }
   gsChange change = this->Current.Changes.back();
-  if (version % SnapshotEvery == 0) {
+  if (version % SnapshotInterval == 0) {
     this->WriteSnapshot();
   }
   this->FinishSubmission(change);
 }
 
-/** Best effort: without it a starting host reads more rows. */
+/** Stores a snapshot. Best effort: without it a starting host reads more
+ * rows. */
 void gsConfigStore::WriteSnapshot()
 {
   std::string version = std::to_string(this->Current.Version);
   std::string text = gsToJson(this->Current).dump();
-  std::vector<gsTableOp> ops{
-    { gsTableOp::Kind::Insert, SnapshotKey(version), std::move(text), {} },
-    { gsTableOp::Kind::Get, SnapshotPointer, {}, {} }
+  std::vector<gsTableOperation> ops{
+    { gsTableOperation::Kind::Insert,
+      SnapshotKey(version),
+      std::move(text),
+      {} },
+    { gsTableOperation::Kind::Get, SnapshotPointer, {}, {} }
   };
   this->Platform.Transact(
     ops, [this, version](gsPlatform::Results const& results) {
       if (!results) {
-        this->Call.OnPlatformError(results.error());
+        this->Callbacks.OnPlatformError(results.error());
         return;
       }
-      std::optional<std::string> old = results.value()[1].Current;
+      std::optional<std::string> old = results.value()[1].CurrentValue;
       if (old && std::stoull(*old) >= std::stoull(version)) {
         return;
       }
-      gsTableOp op{ gsTableOp::Kind::Insert, SnapshotPointer, version, {} };
+      gsTableOperation op{
+        gsTableOperation::Kind::Insert, SnapshotPointer, version, {}
+      };
       if (old) {
-        op.What = gsTableOp::Kind::Replace;
+        op.OperationKind = gsTableOperation::Kind::Replace;
         op.Expected = *old;
       }
       this->Platform.Transact({ op }, [](gsPlatform::Results const&) {});
--- a/Source/Daemon/gsCrashGossip.cxx
+++ b/Source/Daemon/gsCrashGossip.cxx
@@ -8,41 +8,47 @@
 
 namespace {
 
-constexpr gsTime DigestPeriod = gsMilliseconds(500);
-/** Evidence that is on its way makes digests differ for a moment. */
-constexpr gsTime DifferingPatience = gsMilliseconds(400);
-/** Requests that are sent in one tick; the others wait for the next. */
-constexpr std::size_t SendMost = 8;
-/** Requests that one answer to a differing digest holds. */
-constexpr std::size_t SendAllMost = 64;
-
-void ToWire(gsCrashEvidence const& piece, gsTime now,
+constexpr gsTime DigestInterval = gsMilliseconds(500);
+/** Evidence in transit makes digests differ briefly. */
+constexpr gsTime DigestMismatchGracePeriod = gsMilliseconds(400);
+/**
+ * Limit on requests whose evidence is sent per tick; the others are sent in
+ * later ticks.
+ */
+constexpr std::size_t MaxRequestsPerTick = 8;
+/** Limit on requests whose evidence is sent in reply to a differing digest. */
+constexpr std::size_t MaxRequestsPerReply = 64;
+
+void ToWire(gsCrashEvidence const& evidence, gsTime now,
             gradescale::CrashEvidence& wire)
 {
-  wire.set_upstream(piece.Upstream);
-  wire.set_verdict(static_cast<std::uint32_t>(piece.Verdict));
-  wire.set_age_us(
-    static_cast<std::uint64_t>(std::max(now - piece.At, gsTime{}).count()));
+  wire.set_upstream(evidence.UpstreamHash);
+  wire.set_verdict(static_cast<std::uint32_t>(evidence.Verdict));
+  wire.set_age_us(static_cast<std::uint64_t>(
+    std::max(now - evidence.ObservedAt, gsTime{}).count()));
   wire.set_ran_us(
-    static_cast<std::uint64_t>(std::max(piece.Ran, gsTime{}).count()));
+    static_cast<std::uint64_t>(std::max(evidence.RunTime, gsTime{}).count()));
 }
 
-/** False for what this release cannot read. */
+/**
+ * Decodes evidence received at a given time. \return False if the verdict is
+ * unknown to this release, or a duration exceeds 24 hours.
+ */
 bool FromWire(gradescale::CrashEvidence const& wire, gsTime now,
-              gsCrashEvidence& piece)
+              gsCrashEvidence& evidence)
 {
-  auto least = static_cast<std::uint32_t>(gsCrashVerdict::Crashed);
-  auto most = static_cast<std::uint32_t>(gsCrashVerdict::Survived);
-  constexpr auto longest =
+  auto minVerdict = static_cast<std::uint32_t>(gsCrashVerdict::Crashed);
+  auto maxVerdict = static_cast<std::uint32_t>(gsCrashVerdict::Survived);
+  constexpr auto maxDuration =
     static_cast<std::uint64_t>(gsTime(std::chrono::hours(24)).count());
-  if (wire.verdict() < least || wire.verdict() > most ||
-      wire.age_us() > longest || wire.ran_us() > longest) {
+  if (wire.verdict() < minVerdict || wire.verdict() > maxVerdict ||
+      wire.age_us() > maxDuration || wire.ran_us() > maxDuration) {
     return false;
   }
-  piece.Upstream = wire.upstream();
-  piece.Verdict = static_cast<gsCrashVerdict>(wire.verdict());
-  piece.At = now - gsTime(static_cast<gsTime::rep>(wire.age_us()));
-  piece.Ran = gsTime(static_cast<gsTime::rep>(wire.ran_us()));
+  evidence.UpstreamHash = wire.upstream();
+  evidence.Verdict = static_cast<gsCrashVerdict>(wire.verdict());
+  evidence.ObservedAt = now - gsTime(static_cast<gsTime::rep>(wire.age_us()));
+  evidence.RunTime = gsTime(static_cast<gsTime::rep>(wire.ran_us()));
   return true;
 }
 
@@ -52,21 +58,24 @@
   : Loop(loop)
   , Watch(watch)
 {
-  this->Watch.TellEvidence([this](gsCrashReport const& report) {
-    this->PublishSoon(report.Fingerprint);
+  this->Watch.SetEvidenceCallback([this](gsCrashReport const& report) {
+    this->SchedulePublish(report.Fingerprint);
   });
 }
 
-/** Publishes a request in this turn of the loop, with all that is new then. */
-void gsCrashGossip::PublishSoon(gsFingerprint const& print)
+/**
+ * Schedules the publication of all unsent evidence for the end of this event
+ * loop iteration.
+ */
+void gsCrashGossip::SchedulePublish(gsFingerprint const& fingerprint)
 {
-  if (this->Unsent.empty()) {
+  if (this->UnsentRequests.empty()) {
     this->Loop.Defer([this] { this->PublishUnsent(gsLoop::Now()); });
   }
-  this->Unsent.insert(print);
+  this->UnsentRequests.insert(fingerprint);
 }
 
-bool gsCrashGossip::Relays(gsTime now) const
+bool gsCrashGossip::IsRelay(gsTime now) const
 {
   return gsHallRelay(this->Cluster->Members(), now) == this->Cluster->Self();
 }
@@ -81,60 +90,70 @@
   return relays;
 }
 
-void gsCrashGossip::Send(gsFingerprint const& print, std::string const& host,
-                         gsTime now)
+void gsCrashGossip::Send(gsFingerprint const& fingerprint,
+                         std::string const& host, gsTime now)
 {
-  auto found = this->Watch.Table().Suspects.find(print);
+  auto found = this->Watch.SuspectTable().Suspects.find(fingerprint);
   gradescale::Frame* frame = this->Cluster->ToHost(host);
-  if (found == this->Watch.Table().Suspects.end() || frame == nullptr) {
+  if (found == this->Watch.SuspectTable().Suspects.end() || frame == nullptr) {
     return;
   }
   gradescale::SuspectRequest* wire = frame->add_suspects();
-  wire->set_fingerprint_high(print.High);
-  wire->set_fingerprint_low(print.Low);
-  wire->set_organisation(found->second.Organisation);
-  for (gsCrashEvidence const& piece : found->second.Evidence) {
-    ToWire(piece, now, *wire->add_evidence());
+  wire->set_fingerprint_high(fingerprint.High);
+  wire->set_fingerprint_low(fingerprint.Low);
+  wire->set_organisation(found->second.OrganisationHash);
+  for (gsCrashEvidence const& evidence : found->second.Evidence) {
+    ToWire(evidence, now, *wire->add_evidence());
   }
 }
 
-/** Sends all evidence on one request to those who need it. */
-void gsCrashGossip::Publish(gsFingerprint const& print, gsTime now)
+/**
+ * Sends all evidence on a request to its receivers: from a relay the other
+ * relays, and the hosts of its hall if at least two upstreams have
+ * crashed; from another host its relay.
+ */
+void gsCrashGossip::Publish(gsFingerprint const& fingerprint, gsTime now)
 {
-  if (!this->Relays(now)) {
-    this->Send(print, gsHallRelay(this->Cluster->Members(), now), now);
+  if (!this->IsRelay(now)) {
+    this->Send(fingerprint, gsHallRelay(this->Cluster->Members(), now), now);
     return;
   }
   for (std::string const& relay : this->OtherRelays(now)) {
-    this->Send(print, relay, now);
+    this->Send(fingerprint, relay, now);
   }
-  auto found = this->Watch.Table().Suspects.find(print);
-  if (found == this->Watch.Table().Suspects.end() ||
+  auto found = this->Watch.SuspectTable().Suspects.find(fingerprint);
+  if (found == this->Watch.SuspectTable().Suspects.end() ||
       gsCrashCount(found->second) < 2) {
     return;
   }
   for (std::string const& host : gsHallPeers(this->Cluster->Members(), now)) {
-    this->Send(print, host, now);
+    this->Send(fingerprint, host, now);
   }
 }
 
-/** Requests to be sent now: those first that are treated most strictly. */
-std::vector<gsFingerprint> gsCrashGossip::TakeMostUrgent(gsTime now)
+/**
+ * Removes the requests to be sent in this tick from the queue, the most
+ * strictly treated ones first.
+ */
+std::vector<gsFingerprint> gsCrashGossip::DequeueMostStrict(gsTime now)
 {
-  std::vector<gsFingerprint> urgent(this->Unsent.begin(), this->Unsent.end());
-  std::size_t count = std::min(urgent.size(), SendMost - this->SentInTick);
-  this->SentInTick += count;
-  auto stricter = [this, now](gsFingerprint const& a, gsFingerprint const& b) {
-    return gsSuspicionOf(this->Watch.Table(), a, now) >
-           gsSuspicionOf(this->Watch.Table(), b, now);
+  std::vector<gsFingerprint> selected(this->UnsentRequests.begin(),
+                                      this->UnsentRequests.end());
+  std::size_t count =
+    std::min(selected.size(), MaxRequestsPerTick - this->RequestsSentInTick);
+  this->RequestsSentInTick += count;
+  auto isStricter = [this, now](gsFingerprint const& a,
+                                gsFingerprint const& b) {
+    return gsSuspicionLevelOf(this->Watch.SuspectTable(), a, now) >
+           gsSuspicionLevelOf(this->Watch.SuspectTable(), b, now);
   };
-  auto end = urgent.begin() + static_cast<std::ptrdiff_t>(count);
-  std::partial_sort(urgent.begin(), end, urgent.end(), stricter);
-  urgent.resize(count);
-  for (gsFingerprint const& print : urgent) {
-    this->Unsent.erase(print);
+  auto end = selected.begin() + static_cast<std::ptrdiff_t>(count);
+  std::partial_sort(selected.begin(), end, selected.end(), isStricter);
+  selected.resize(count);
+  for (gsFingerprint const& fingerprint : selected) {
+    this->UnsentRequests.erase(fingerprint);
   }
-  return urgent;
+  return selected;
 }
 
 void gsCrashGossip::PublishUnsent(gsTime now)
@@ -142,8 +161,8 @@
   if (this->Cluster == nullptr) {
     return;
   }
-  for (gsFingerprint const& print : this->TakeMostUrgent(now)) {
-    this->Publish(print, now);
+  for (gsFingerprint const& fingerprint : this->DequeueMostStrict(now)) {
+    this->Publish(fingerprint, now);
   }
 }
 
@@ -152,9 +171,9 @@
   if (this->Cluster == nullptr) {
     return;
   }
-  this->SentInTick = 0;
+  this->RequestsSentInTick = 0;
   this->PublishUnsent(now);
-  if (now - this->DigestSentAt >= DigestPeriod) {
+  if (now - this->DigestSentAt >= DigestInterval) {
     this->DigestSentAt = now;
     this->SendDigest(now);
   }
@@ -162,7 +181,7 @@
 
 gsCrashGossip::Hosts gsCrashGossip::DigestReceivers(gsTime now) const
 {
-  if (!this->Relays(now)) {
+  if (!this->IsRelay(now)) {
     return { gsHallRelay(this->Cluster->Members(), now) };
   }
   Hosts receivers = gsHallPeers(this->Cluster->Members(), now);
@@ -173,7 +192,7 @@
 
 void gsCrashGossip::SendDigest(gsTime now)
 {
-  std::uint64_t digest = gsQuarantineDigest(this->Watch.Table(), now);
+  std::uint64_t digest = gsQuarantineDigest(this->Watch.SuspectTable(), now);
   if (digest == 0) {
     return;
   }
@@ -184,34 +203,37 @@
   }
 }
 
-/** Exchanges all with a host that has known something else for a while. */
+/**
+ * Exchanges all evidence with a host whose digest has differed for the grace
+ * period.
+ */
 void gsCrashGossip::CompareDigest(std::string const& host,
                                   std::uint64_t digest, gsTime now)
 {
-  if (digest == gsQuarantineDigest(this->Watch.Table(), now)) {
-    this->Differing.erase(host);
+  if (digest == gsQuarantineDigest(this->Watch.SuspectTable(), now)) {
+    this->MismatchedSince.erase(host);
     return;
   }
-  auto [since, isNew] = this->Differing.emplace(host, now);
-  if (isNew || now - since->second < DifferingPatience) {
+  auto [since, isNew] = this->MismatchedSince.emplace(host, now);
+  if (isNew || now - since->second < DigestMismatchGracePeriod) {
     return;
   }
-  this->Differing.erase(since);
-  this->SendAll(host, now);
+  this->MismatchedSince.erase(since);
+  this->SendAllEvidence(host, now);
   if (gradescale::Frame* frame = this->Cluster->ToHost(host)) {
     frame->set_wants_suspects(true);
   }
 }
 
-void gsCrashGossip::SendAll(std::string const& host, gsTime now)
+void gsCrashGossip::SendAllEvidence(std::string const& host, gsTime now)
 {
   std::size_t sent = 0;
-  for (gsFingerprint const& print :
-       gsQuarantineShared(this->Watch.Table(), now)) {
-    if (++sent > SendAllMost) {
+  for (gsFingerprint const& fingerprint :
+       gsQuarantineRequestsToExchange(this->Watch.SuspectTable(), now)) {
+    if (++sent > MaxRequestsPerReply) {
       break;
     }
-    this->Send(print, host, now);
+    this->Send(fingerprint, host, now);
   }
 }
 
@@ -226,20 +248,21 @@
   for (gradescale::SuspectRequest const& wire : frame.suspects()) {
     gsCrashReport report;
     report.Fingerprint = { wire.fingerprint_high(), wire.fingerprint_low() };
-    report.Organisation = wire.organisation();
+    report.OrganisationHash = wire.organisation();
     bool isNew = false;
-    for (gradescale::CrashEvidence const& piece : wire.evidence()) {
-      bool known = FromWire(piece, now, report.Evidence);
-      isNew = (known && this->Watch.Take(report, host, now)) || isNew;
+    for (gradescale::CrashEvidence const& evidence : wire.evidence()) {
+      bool isReadable = FromWire(evidence, now, report.Evidence);
+      isNew =
+        (isReadable && this->Watch.ApplyReport(report, host, now)) || isNew;
     }
-    if (isNew && this->Relays(now)) {
-      this->PublishSoon(report.Fingerprint);
+    if (isNew && this->IsRelay(now)) {
+      this->SchedulePublish(report.Fingerprint);
     }
   }
   if (frame.suspects_digest() != 0) {
     this->CompareDigest(host, frame.suspects_digest(), now);
   }
   if (frame.wants_suspects()) {
-    this->SendAll(host, now);
+    this->SendAllEvidence(host, now);
   }
 }
--- a/Source/Daemon/gsCrashGossip.h
+++ b/Source/Daemon/gsCrashGossip.h
@@ -2,10 +2,14 @@
 /**
  * \file
  * Exchanges evidence on requests that crash upstreams between hosts. A host
- * sends what is new to the relay of its hall, a relay to the other relays; to
- * the hosts of its hall it sends only requests that are to be treated
- * differently. A digest, sent twice a second while there are such requests,
- * finds what was lost on the way or while a host was down.
+ * sends new evidence to the relay of its hall, and a relay forwards it to the
+ * relays of the other halls. A relay sends evidence to the hosts of its hall
+ * only for requests under which at least two upstreams have crashed, since
+ * only those are restricted.
+ *
+ * While there are restricted requests, hosts exchange a digest of them twice a
+ * second. A digest that keeps differing reveals evidence that was lost, or
+ * that was sent while a host was down, and triggers an exchange of all of it.
  */
 #pragma once
 
@@ -20,40 +24,50 @@
 class gsCrashGossip
 {
 public:
-  /** The loop and the watch outlive this. */
+  /** The loop and the watch must outlive this object. */
   gsCrashGossip(gsLoop& loop, gsCrashWatch& watch);
 
-  /** The cluster outlives this. */
+  /** The cluster must outlive this object. */
   void Start(gsHallCluster& cluster) { this->Cluster = &cluster; }
 
-  /** Takes in what a frame of another host says. */
+  /**
+   * Processes the evidence, digest and request for evidence in a frame from
+   * another host.
+   */
   void OnReceive(std::string const& host, gradescale::Frame const& frame);
-  /** Sends what is left over, and digests; run some ten times a second. */
+  /**
+   * Sends pending evidence and, when due, a digest; to be called about ten
+   * times per second.
+   */
   void Tick(gsTime now);
 
 private:
   using Hosts = std::vector<std::string>;
 
-  bool Relays(gsTime now) const;
+  bool IsRelay(gsTime now) const;
   Hosts OtherRelays(gsTime now) const;
   Hosts DigestReceivers(gsTime now) const;
-  void PublishSoon(gsFingerprint const& print);
+  void SchedulePublish(gsFingerprint const& fingerprint);
   void PublishUnsent(gsTime now);
-  void Publish(gsFingerprint const& print, gsTime now);
-  void Send(gsFingerprint const& print, std::string const& host, gsTime now);
-  void SendAll(std::string const& host, gsTime now);
+  void Publish(gsFingerprint const& fingerprint, gsTime now);
+  void Send(gsFingerprint const& fingerprint, std::string const& host,
+            gsTime now);
+  void SendAllEvidence(std::string const& host, gsTime now);
   void SendDigest(gsTime now);
   void CompareDigest(std::string const& host, std::uint64_t digest,
                      gsTime now);
-  std::vector<gsFingerprint> TakeMostUrgent(gsTime now);
+  std::vector<gsFingerprint> DequeueMostStrict(gsTime now);
 
   gsLoop& Loop;
   gsCrashWatch& Watch;
   gsHallCluster* Cluster = nullptr; ///< Set by Start.
-  /** Requests of which there is new evidence to send. */
-  std::unordered_set<gsFingerprint> Unsent;
-  std::size_t SentInTick = 0;
-  /** Hosts whose last digest differed, and since when. */
-  std::unordered_map<std::string, gsTime> Differing;
+  /** Requests with new evidence that has not been sent yet. */
+  std::unordered_set<gsFingerprint> UnsentRequests;
+  std::size_t RequestsSentInTick = 0;
+  /**
+   * Since when the digest of each host has differed; hosts whose last digest
+   * matched are absent.
+   */
+  std::unordered_map<std::string, gsTime> MismatchedSince;
   gsTime DigestSentAt{};
 };
--- a/Source/Daemon/gsCrashWatch.cxx
+++ b/Source/Daemon/gsCrashWatch.cxx
@@ -9,14 +9,24 @@
 
 namespace {
 
-/** Bytes that were on their way when an upstream crashed arrive by then. */
-constexpr gsTime HeardFrom = gsMilliseconds(250);
-/** An upstream that crashed is not back before. */
-constexpr gsTime HeardUntil = gsMilliseconds(1500);
-/** An upstream that answered whole may serve nobody else for a while. */
-constexpr gsTime SurvivedUntil = gsSeconds(10);
-constexpr std::size_t AwaitedMost = 4096;
-constexpr gsTime ForgetPeriod = gsSeconds(10);
+/**
+ * Bytes that an upstream sent before it crashed arrive within this time of the
+ * loss of the connection; later ones prove that it is alive.
+ */
+constexpr gsTime MaxTransitTime = gsMilliseconds(250);
+/**
+ * A crashed upstream takes longer than this to restart, so that bytes received
+ * earlier come from the same process.
+ */
+constexpr gsTime CrashCheckTimeout = gsMilliseconds(1500);
+/**
+ * Timeout of the check after a complete answer; longer, because an upstream
+ * without other requests may send nothing for a while.
+ */
+constexpr gsTime SurvivalCheckTimeout = gsSeconds(10);
+constexpr std::size_t MaxPendingChecks = 4096;
+/** Interval between cleanups, and retention of the times of crashes. */
+constexpr gsTime CleanupInterval = gsSeconds(10);
 
 std::uint32_t OrganisationHash(std::string const& organisation)
 {
@@ -28,10 +38,10 @@
 {
   gsCrashReport report;
   report.Fingerprint = gsRequestFingerprint(request);
-  report.Organisation = OrganisationHash(request.Organisation);
-  report.Evidence.Upstream = gsIncarnationHash(attempt.Upstream);
-  report.Evidence.At = now;
-  report.Evidence.Ran = now - attempt.SentAt;
+  report.OrganisationHash = OrganisationHash(request.Organisation);
+  report.Evidence.UpstreamHash = gsIncarnationHash(attempt.Upstream);
+  report.Evidence.ObservedAt = now;
+  report.Evidence.RunTime = now - attempt.SentAt;
   return report;
 }
 
@@ -43,186 +53,212 @@
 {
 }
 
-void gsCrashWatch::NoteEnd(gsRoutedRequest& request, gsAttempt const& attempt,
-                           gsAttemptResult const& result, gsTime now)
+void gsCrashWatch::RecordAttemptEnd(gsRoutedRequest& request,
+                                    gsAttempt const& attempt,
+                                    gsAttemptResult const& result, gsTime now)
 {
-  if (result.BrokeOff && !this->WasGone(attempt)) {
-    this->NoteCrash(request, attempt, now);
-  } else if (result.End == gsAttemptEnd::Whole &&
-             this->SuspicionOf(request, now) != gsSuspicion::None) {
-    this->Await(ReportOf(request, attempt, now), gsCrashVerdict::Survived);
+  if (result.IsUpstreamLost && !this->HadCrashedBefore(attempt)) {
+    this->RecordCrash(request, attempt, now);
+  } else if (result.Outcome == gsAttemptOutcome::Complete &&
+             this->SuspicionLevelOf(request, now) != gsSuspicionLevel::None) {
+    this->AddPendingCheck(ReportOf(request, attempt, now),
+                          gsCrashVerdict::Survived);
   }
 }
 
-void gsCrashWatch::NoteCrash(gsRoutedRequest& request,
-                             gsAttempt const& attempt, gsTime now)
+void gsCrashWatch::RecordCrash(gsRoutedRequest& request,
+                               gsAttempt const& attempt, gsTime now)
 {
   gsCrashReport report = ReportOf(request, attempt, now);
-  this->Metrics.Count("gradescale_crash_reports_total");
-  this->Add(report, now);
-  gsSuspect const& suspect = this->Suspects.Suspects.at(report.Fingerprint);
+  this->Metrics.Increment("gradescale_crash_reports_total");
+  this->AddOwn(report, now);
+  gsSuspectRequest const& suspect =
+    this->Quarantine.Suspects.at(report.Fingerprint);
   gsLogLine("crash_report")
-    .With("request", request.Caller.Id)
-    .With("fingerprint", gsFingerprintText(report.Fingerprint))
+    .With("request", request.Caller.AttemptId)
+    .With("fingerprint", gsFormatFingerprint(report.Fingerprint))
     .With("organisation", request.Organisation)
     .With("upstream", attempt.Upstream.Id)
-    .With("born", attempt.Upstream.Born)
-    .With("ran_ms", report.Evidence.Ran)
+    .With("born", attempt.Upstream.StartedAt)
+    .With("ran_ms", report.Evidence.RunTime)
     .With("crashes", std::uint64_t(gsCrashCount(suspect)))
-    .With("in_sequence", std::uint64_t(gsCrashesInSequence(suspect)))
-    .With("treated", gsSuspicionWord(this->SuspicionOf(request, now)));
+    .With("in_sequence", std::uint64_t(gsSequentialCrashCount(suspect)))
+    .With("treated",
+          gsSuspicionLevelName(this->SuspicionLevelOf(request, now)));
 }
 
-/** \return Whether the evidence is new. */
-bool gsCrashWatch::Unite(gsCrashReport const& report, bool own, gsTime now)
+/**
+ * Merges evidence and schedules what follows from it: a check of whether the
+ * upstream is alive after a crash, and a call to QuarantinedCallback when the
+ * quarantine of the request begins. \return Whether the evidence
+ * is new.
+ */
+bool gsCrashWatch::Merge(gsCrashReport const& report, bool isOwn, gsTime now)
 {
-  gsSuspicion before = gsSuspicionOf(this->Suspects, report.Fingerprint, now);
-  if (!gsQuarantineTake(this->Suspects, report, now)) {
+  gsSuspicionLevel before =
+    gsSuspicionLevelOf(this->Quarantine, report.Fingerprint, now);
+  if (!gsQuarantineMergeReport(this->Quarantine, report, now)) {
     return false;
   }
   if (report.Evidence.Verdict == gsCrashVerdict::Crashed) {
-    this->Await(report, gsCrashVerdict::Lived);
-    this->CrashedAt.emplace(report.Evidence.Upstream, report.Evidence.At);
+    this->AddPendingCheck(report, gsCrashVerdict::Alive);
+    this->CrashedAt.emplace(report.Evidence.UpstreamHash,
+                            report.Evidence.ObservedAt);
   } else {
-    this->CrashedAt.erase(report.Evidence.Upstream);
+    this->CrashedAt.erase(report.Evidence.UpstreamHash);
   }
-  gsSuspicion after = gsSuspicionOf(this->Suspects, report.Fingerprint, now);
-  bool begins = after == gsSuspicion::Quarantined && after != before;
-  if (begins && this->Quarantined) {
-    this->Quarantined(report.Fingerprint, own);
+  gsSuspicionLevel after =
+    gsSuspicionLevelOf(this->Quarantine, report.Fingerprint, now);
+  bool isNewlyQuarantined =
+    after == gsSuspicionLevel::Quarantined && after != before;
+  if (isNewlyQuarantined && this->QuarantinedCallback) {
+    this->QuarantinedCallback(report.Fingerprint, isOwn);
   }
   return true;
 }
 
-/** Whether an upstream had crashed before the attempt was sent, so that it
- * cannot have run it. */
-bool gsCrashWatch::WasGone(gsAttempt const& attempt) const
+/**
+ * Whether the upstream had crashed before the attempt was sent, so that it
+ * cannot have run the request.
+ */
+bool gsCrashWatch::HadCrashedBefore(gsAttempt const& attempt) const
 {
   auto crashed = this->CrashedAt.find(gsIncarnationHash(attempt.Upstream));
   return crashed != this->CrashedAt.end() && attempt.Status == 0 &&
          attempt.SentAt > crashed->second;
 }
 
-bool gsCrashWatch::Take(gsCrashReport const& report, std::string_view host,
-                        gsTime now)
+bool gsCrashWatch::ApplyReport(gsCrashReport const& report,
+                               std::string_view host, gsTime now)
 {
-  if (!this->Unite(report, false, now)) {
+  if (!this->Merge(report, false, now)) {
     return false;
   }
   gsLogLine("crash_report_received")
-    .With("fingerprint", gsFingerprintText(report.Fingerprint))
+    .With("fingerprint", gsFormatFingerprint(report.Fingerprint))
     .With("from", host)
-    .With("age_ms", now - report.Evidence.At)
+    .With("age_ms", now - report.Evidence.ObservedAt)
     .With("verdict", std::uint64_t(report.Evidence.Verdict))
-    .With("treated", gsSuspicionWord(gsSuspicionOf(this->Suspects,
-                                                   report.Fingerprint, now)));
+    .With("treated", gsSuspicionLevelName(gsSuspicionLevelOf(
+                       this->Quarantine, report.Fingerprint, now)));
   return true;
 }
 
-/** Takes this host's own evidence in, and tells of it if it is new. */
-void gsCrashWatch::Add(gsCrashReport const& report, gsTime now)
+/** Merges evidence found by this host and reports it if it is new. */
+void gsCrashWatch::AddOwn(gsCrashReport const& report, gsTime now)
 {
-  if (this->Unite(report, true, now) && this->Evidence) {
-    this->Evidence(report);
+  if (this->Merge(report, true, now) && this->EvidenceCallback) {
+    this->EvidenceCallback(report);
   }
 }
 
-void gsCrashWatch::Await(gsCrashReport const& report, gsCrashVerdict ifHeard)
+void gsCrashWatch::AddPendingCheck(gsCrashReport const& report,
+                                   gsCrashVerdict verdictIfAlive)
 {
-  if (this->Awaited.size() < AwaitedMost) {
-    this->Awaited.push_back({ report, ifHeard });
+  if (this->PendingChecks.size() < MaxPendingChecks) {
+    this->PendingChecks.push_back({ report, verdictIfAlive });
   }
 }
 
-/** Notes an upstream that was heard again. \return Whether no more is to be
- * awaited of it. */
-bool gsCrashWatch::IsSettled(Unsettled const& each, gsTime now)
+/**
+ * Records evidence if the upstream has sent something since the event that is
+ * checked. \return Whether the check is complete, which includes its timeout
+ * and the removal of the upstream.
+ */
+bool gsCrashWatch::CompleteCheck(PendingCheck const& each, gsTime now)
 {
-  gsTime broke = each.Report.Evidence.At;
-  auto row = this->Fleet.ByHash.find(each.Report.Evidence.Upstream);
-  gsTime until =
-    each.IfHeard == gsCrashVerdict::Survived ? SurvivedUntil : HeardUntil;
-  if (row == this->Fleet.ByHash.end() || now - broke > until) {
+  gsTime observedAt = each.Report.Evidence.ObservedAt;
+  auto row = this->Fleet.ByHash.find(each.Report.Evidence.UpstreamHash);
+  gsTime timeout = each.VerdictIfAlive == gsCrashVerdict::Survived
+                     ? SurvivalCheckTimeout
+                     : CrashCheckTimeout;
+  if (row == this->Fleet.ByHash.end() || now - observedAt > timeout) {
     return true;
   }
-  if (this->Fleet.Rows[row->second].LastHeard - broke < HeardFrom) {
+  if (this->Fleet.Rows[row->second].LastReceivedAt - observedAt <
+      MaxTransitTime) {
     return false;
   }
   gsCrashReport report = each.Report;
-  report.Evidence.Verdict = each.IfHeard;
-  this->Add(report, now);
+  report.Evidence.Verdict = each.VerdictIfAlive;
+  this->AddOwn(report, now);
   return true;
 }
 
-void gsCrashWatch::Sweep(gsTime now)
+void gsCrashWatch::ProcessPendingChecks(gsTime now)
 {
-  // Evidence that is added meanwhile is awaited by the next sweep.
-  std::vector<Unsettled> awaited = std::exchange(this->Awaited, {});
-  auto settled = [this, now](Unsettled const& each) {
-    return this->IsSettled(each, now);
+  // Checks that are added during this loop are processed by the next sweep.
+  std::vector<PendingCheck> pending = std::exchange(this->PendingChecks, {});
+  auto isComplete = [this, now](PendingCheck const& each) {
+    return this->CompleteCheck(each, now);
   };
-  awaited.erase(std::remove_if(awaited.begin(), awaited.end(), settled),
-                awaited.end());
-  this->Awaited.insert(this->Awaited.end(), awaited.begin(), awaited.end());
-  if (now - this->ForgotAt >= ForgetPeriod) {
-    this->ForgotAt = now;
-    gsQuarantineForget(this->Suspects, now);
+  pending.erase(std::remove_if(pending.begin(), pending.end(), isComplete),
+                pending.end());
+  this->PendingChecks.insert(this->PendingChecks.end(), pending.begin(),
+                             pending.end());
+  if (now - this->CleanedUpAt >= CleanupInterval) {
+    this->CleanedUpAt = now;
+    gsQuarantineRemoveExpired(this->Quarantine, now);
     for (auto each = this->CrashedAt.begin(); each != this->CrashedAt.end();) {
-      bool old = now - each->second >= ForgetPeriod;
-      each = old ? this->CrashedAt.erase(each) : std::next(each);
+      bool isExpired = now - each->second >= CleanupInterval;
+      each = isExpired ? this->CrashedAt.erase(each) : std::next(each);
     }
   }
 }
 
-gsSuspicion gsCrashWatch::SuspicionOf(gsRoutedRequest& request,
-                                      gsTime now) const
+gsSuspicionLevel gsCrashWatch::SuspicionLevelOf(gsRoutedRequest& request,
+                                                gsTime now) const
 {
-  bool concerns = !this->Suspects.Suspects.empty() &&
-                  gsQuarantineConcerns(this->Suspects,
-                                       OrganisationHash(request.Organisation));
-  return concerns
-           ? gsSuspicionOf(this->Suspects, gsRequestFingerprint(request), now)
-           : gsSuspicion::None;
+  bool hasSuspects =
+    !this->Quarantine.Suspects.empty() &&
+    gsQuarantineHasSuspects(this->Quarantine,
+                            OrganisationHash(request.Organisation));
+  return hasSuspects ? gsSuspicionLevelOf(this->Quarantine,
+                                          gsRequestFingerprint(request), now)
+                     : gsSuspicionLevel::None;
 }
 
-bool gsCrashWatch::BeginContained(gsRoutedRequest& request)
+bool gsCrashWatch::TryBeginContained(gsRoutedRequest& request)
 {
-  if (!request.Contained) {
-    request.Contained =
-      this->Running.insert(gsRequestFingerprint(request)).second;
+  if (!request.IsContainedCopy) {
+    request.IsContainedCopy =
+      this->RunningContained.insert(gsRequestFingerprint(request)).second;
   }
-  return request.Contained;
+  return request.IsContainedCopy;
 }
 
-void gsCrashWatch::End(gsRoutedRequest& request)
+void gsCrashWatch::EndContained(gsRoutedRequest& request)
 {
-  if (std::exchange(request.Contained, false)) {
-    this->Running.erase(gsRequestFingerprint(request));
+  if (std::exchange(request.IsContainedCopy, false)) {
+    this->RunningContained.erase(gsRequestFingerprint(request));
   }
 }
 
-gsTime gsCrashWatch::Left(gsRoutedRequest& request, gsTime now) const
+gsTime gsCrashWatch::QuarantineTimeLeft(gsRoutedRequest& request,
+                                        gsTime now) const
 {
-  return gsQuarantineLeft(this->Suspects, gsRequestFingerprint(request), now);
+  return gsQuarantineTimeLeft(this->Quarantine, gsRequestFingerprint(request),
+                              now);
 }
 
-bool gsCrashWatch::Clear(gsFingerprint const& print, gsTime now)
+bool gsCrashWatch::ClearSuspicion(gsFingerprint const& fingerprint, gsTime now)
 {
-  auto found = this->Suspects.Suspects.find(print);
-  if (found == this->Suspects.Suspects.end()) {
+  auto found = this->Quarantine.Suspects.find(fingerprint);
+  if (found == this->Quarantine.Suspects.end()) {
     return false;
   }
   gsLogLine("quarantine_cleared")
-    .With("fingerprint", gsFingerprintText(print))
+    .With("fingerprint", gsFormatFingerprint(fingerprint))
     .With("crashes", std::uint64_t(gsCrashCount(found->second)));
   gsCrashReport report;
-  report.Fingerprint = print;
-  report.Organisation = found->second.Organisation;
-  // It outweighs three crashes, as an upstream that survived the request.
+  report.Fingerprint = fingerprint;
+  report.OrganisationHash = found->second.OrganisationHash;
+  // Recorded as an upstream that survived the request, which outweighs three
+  // crashes.
   report.Evidence = {
     static_cast<std::uint32_t>(now.count()), gsCrashVerdict::Survived, now, {}
   };
-  this->Add(report, now);
+  this->AddOwn(report, now);
   return true;
 }
 
@@ -232,15 +268,17 @@
     return std::chrono::duration_cast<gsMilliseconds>(time).count();
   };
   nlohmann::json rows = nlohmann::json::array();
-  for (gsFingerprint const& print : gsQuarantineListed(this->Suspects, now)) {
-    gsSuspect const& suspect = this->Suspects.Suspects.at(print);
-    rows.push_back(
-      { { "fingerprint", gsFingerprintText(print) },
-        { "treated",
-          gsSuspicionWord(gsSuspicionOf(this->Suspects, print, now)) },
-        { "crashes", gsCrashCount(suspect) },
-        { "changed_ms", millis(now - suspect.ChangedAt) },
-        { "left_ms", millis(gsQuarantineLeft(this->Suspects, print, now)) } });
+  for (gsFingerprint const& fingerprint :
+       gsQuarantineRestrictedRequests(this->Quarantine, now)) {
+    gsSuspectRequest const& suspect =
+      this->Quarantine.Suspects.at(fingerprint);
+    rows.push_back({ { "fingerprint", gsFormatFingerprint(fingerprint) },
+                     { "treated", gsSuspicionLevelName(gsSuspicionLevelOf(
+                                    this->Quarantine, fingerprint, now)) },
+                     { "crashes", gsCrashCount(suspect) },
+                     { "changed_ms", millis(now - suspect.ChangedAt) },
+                     { "left_ms", millis(gsQuarantineTimeLeft(
+                                    this->Quarantine, fingerprint, now)) } });
   }
   return rows;
 }
--- a/Source/Daemon/gsCrashWatch.h
+++ b/Source/Daemon/gsCrashWatch.h
@@ -1,10 +1,14 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * Finds requests under which upstreams crash, from how attempts end, and says
- * how each request is to be treated. An attempt that breaks off counts as a
- * crash of its upstream until that is heard again. Others that ran beside it
- * are suspected with it; what they run on next tells them apart.
+ * Detects requests under which upstreams crash, from the outcomes of attempts,
+ * and decides how each request is treated.
+ *
+ * An attempt whose connection breaks counts as a crash of its upstream, unless
+ * the upstream sends something soon afterwards. All requests that ran on the
+ * upstream at that time become suspects. The outcomes of their later attempts
+ * distinguish the cause from the others: an upstream that answers a request
+ * completely and stays alive is evidence against the suspicion.
  */
 #pragma once
 
@@ -25,78 +29,95 @@
 class gsCrashWatch
 {
 public:
-  /** The fleet and the metrics outlive this. */
+  /** The fleet and the metrics must outlive this object. */
   gsCrashWatch(gsFleet const& fleet, gsMetrics& metrics);
 
-  /** Told of each piece of evidence that is new here. */
+  /** Called for each new piece of evidence that this host has found. */
   using OnEvidence = std::function<void(gsCrashReport const& report)>;
-  void TellEvidence(OnEvidence told) { this->Evidence = std::move(told); }
+  void SetEvidenceCallback(OnEvidence callback)
+  {
+    this->EvidenceCallback = std::move(callback);
+  }
 
-  /** Told of each request that is quarantined from now on, and whether this
-   * host's own evidence decided it. */
+  /**
+   * Called for each request that becomes quarantined, with whether evidence
+   * found by this host caused it.
+   */
   using OnQuarantined =
-    std::function<void(gsFingerprint const& print, bool ownEvidence)>;
-  void TellQuarantined(OnQuarantined told)
+    std::function<void(gsFingerprint const& fingerprint, bool ownEvidence)>;
+  void SetQuarantinedCallback(OnQuarantined callback)
   {
-    this->Quarantined = std::move(told);
+    this->QuarantinedCallback = std::move(callback);
   }
 
-  /** Takes in how an attempt ended. */
-  void NoteEnd(gsRoutedRequest& request, gsAttempt const& attempt,
-               gsAttemptResult const& result, gsTime now);
-  /** Takes in another host's evidence. \return Whether it is new. */
-  bool Take(gsCrashReport const& report, std::string_view host, gsTime now);
-  /** Looks which upstreams were heard again; run many times a second. */
-  void Sweep(gsTime now);
+  /** Records the outcome of an attempt. */
+  void RecordAttemptEnd(gsRoutedRequest& request, gsAttempt const& attempt,
+                        gsAttemptResult const& result, gsTime now);
+  /** Merges evidence found by another host. \return Whether it is new. */
+  bool ApplyReport(gsCrashReport const& report, std::string_view host,
+                   gsTime now);
+  /**
+   * Checks whether upstreams with pending checks have sent anything, and
+   * removes expired evidence; to be called many times per second.
+   */
+  void ProcessPendingChecks(gsTime now);
 
-  /** How a request is to be treated now. */
-  gsSuspicion SuspicionOf(gsRoutedRequest& request, gsTime now) const;
+  /** How a request is treated now. */
+  gsSuspicionLevel SuspicionLevelOf(gsRoutedRequest& request,
+                                    gsTime now) const;
 
   /**
-   * Whether a contained request may run now: no other copy of it does on this
-   * host. It counts as running from then on, until End.
+   * Marks a contained request as running, unless another copy of it runs on
+   * this host. The mark lasts until EndContained. \return Whether the request
+   * may run.
    */
-  bool BeginContained(gsRoutedRequest& request);
-  void End(gsRoutedRequest& request);
+  bool TryBeginContained(gsRoutedRequest& request);
+  void EndContained(gsRoutedRequest& request);
 
-  /** Until a quarantined request is let through again. */
-  gsTime Left(gsRoutedRequest& request, gsTime now) const;
+  /** Time until the quarantine of a request ends. */
+  gsTime QuarantineTimeLeft(gsRoutedRequest& request, gsTime now) const;
 
   /**
-   * Lets a request through again on all hosts, by the operator's word; three
-   * more crashes have it refused again. \return Whether it was suspected.
+   * Lifts the suspicion from a request on all hosts, on behalf of the
+   * operator. Three more crashes quarantine it again. \return Whether it was
+   * suspected.
    */
-  bool Clear(gsFingerprint const& print, gsTime now);
+  bool ClearSuspicion(gsFingerprint const& fingerprint, gsTime now);
 
-  gsQuarantine const& Table() const { return this->Suspects; }
+  gsQuarantine const& SuspectTable() const { return this->Quarantine; }
 
-  /** A row for each request that is contained or quarantined. */
+  /** One row per request that is contained or quarantined. */
   nlohmann::json Status(gsTime now) const;
 
 private:
-  /** An upstream of which it is not settled yet whether it lives. */
-  struct Unsettled
+  /** A check, not completed yet, of whether an upstream is still alive. */
+  struct PendingCheck
   {
     gsCrashReport Report;
-    gsCrashVerdict IfHeard = gsCrashVerdict::Lived;
+    gsCrashVerdict VerdictIfAlive = gsCrashVerdict::Alive;
   };
 
-  bool Unite(gsCrashReport const& report, bool own, gsTime now);
-  void Add(gsCrashReport const& report, gsTime now);
-  void Await(gsCrashReport const& report, gsCrashVerdict ifHeard);
-  bool IsSettled(Unsettled const& each, gsTime now);
-  bool WasGone(gsAttempt const& attempt) const;
-  void NoteCrash(gsRoutedRequest& request, gsAttempt const& attempt,
-                 gsTime now);
+  bool Merge(gsCrashReport const& report, bool isOwn, gsTime now);
+  void AddOwn(gsCrashReport const& report, gsTime now);
+  void AddPendingCheck(gsCrashReport const& report,
+                       gsCrashVerdict verdictIfAlive);
+  bool CompleteCheck(PendingCheck const& each, gsTime now);
+  bool HadCrashedBefore(gsAttempt const& attempt) const;
+  void RecordCrash(gsRoutedRequest& request, gsAttempt const& attempt,
+                   gsTime now);
 
   gsFleet const& Fleet;
   gsMetrics& Metrics;
-  OnEvidence Evidence;
-  OnQuarantined Quarantined;
-  gsQuarantine Suspects;
-  std::vector<Unsettled> Awaited;
-  std::unordered_set<gsFingerprint> Running; ///< Contained ones.
-  /** When upstreams crashed, as far as is known; of the last ForgetPeriod. */
+  OnEvidence EvidenceCallback;
+  OnQuarantined QuarantinedCallback;
+  gsQuarantine Quarantine;
+  std::vector<PendingCheck> PendingChecks;
+  /** Contained requests that run on this host. */
+  std::unordered_set<gsFingerprint> RunningContained;
+  /**
+   * When upstreams crashed, by hash of their incarnation. Entries are removed
+   * after CleanupInterval, or when the upstream turns out to be alive.
+   */
   std::unordered_map<std::uint32_t, gsTime> CrashedAt;
-  gsTime ForgotAt{};
+  gsTime CleanedUpAt{};
 };
--- a/Source/Daemon/gsDispatcher.cxx
+++ b/Source/Daemon/gsDispatcher.cxx
@@ -14,8 +14,9 @@
 namespace {
 
 constexpr gsTime TickPeriod = gsMilliseconds(20);
-/** Requests of a broken link keep their slots so long, to be taken over. */
-constexpr gsTime OrphanTime = gsSeconds(3);
+/** Time for which requests of a broken link keep their slots, so that another
+ * link can adopt them. */
+constexpr gsTime BrokenLinkTimeout = gsSeconds(3);
 constexpr gsTime LoadTimeout = gsMilliseconds(1000);
 
 std::size_t CountUpstreams(gsDocument const& document,
@@ -28,37 +29,37 @@
                   }));
 }
 
-std::size_t PartsFor(std::size_t upstreams)
+std::size_t PartCount(std::size_t upstreams)
 {
-  return (upstreams + gsMaxPoolUpstreams - 1) / gsMaxPoolUpstreams;
+  return (upstreams + gsMaxUpstreamsPerPool - 1) / gsMaxUpstreamsPerPool;
 }
 
 void LogGrant(gsGrant const& grant)
 {
   gsLogLine("grant")
-    .With("request", gsFormatId(grant.Id))
+    .With("request", gsFormatRequestId(grant.Id))
     .With("pool", grant.Pool)
     .With("organisation", grant.Organisation)
     .With("tier", grant.Tier)
     .With("upstream", grant.Upstream)
     .With("cause", grant.Cause)
-    .With("waited_ms", grant.Waited)
+    .With("waited_ms", grant.WaitTime)
     .With("candidates", grant.Candidates);
 }
 
 void LogRefusal(gsRefusal const& refusal)
 {
   gsLogLine("refuse")
-    .With("request", gsFormatId(refusal.Id))
+    .With("request", gsFormatRequestId(refusal.Id))
     .With("pool", refusal.Pool)
     .With("organisation", refusal.Organisation)
     .With("template", refusal.Template)
     .With("tier", refusal.Tier)
-    .With("cause", gsCauseWord(refusal.Cause))
-    .With("waited_ms", refusal.Waited)
+    .With("cause", gsRefusalCauseName(refusal.Cause))
+    .With("waited_ms", refusal.WaitTime)
     .With("retry_after_ms", refusal.RetryAfter)
-    .With("lower_waiting", refusal.LowerWaiting)
-    .With("lower_granted", refusal.LowerGranted);
+    .With("lower_waiting", refusal.LowerTierWaiting)
+    .With("lower_granted", refusal.LowerTierGrants);
 }
 
 } // namespace
@@ -75,10 +76,10 @@
   return name;
 }
 
-std::size_t gsPoolParts(gsDocument const& document, std::string_view service,
-                        std::string_view hall)
+std::size_t gsPoolPartCount(gsDocument const& document,
+                            std::string_view service, std::string_view hall)
 {
-  return PartsFor(CountUpstreams(document, service, hall));
+  return PartCount(CountUpstreams(document, service, hall));
 }
 
 gsDispatcher::gsDispatcher(gsLoop& loop, gsHttpClient& client,
@@ -88,34 +89,34 @@
   , Client(client)
   , Settings(settings)
   , Metrics(metrics)
-  , Call(std::move(hooks))
+  , Callbacks(std::move(hooks))
   , Timer(loop, [this] { this->Tick(); })
   , LoadTimer(loop, [this] { this->PollLoads(); })
 {
   this->LoadTimer.Every(settings.Upstreams.LoadPeriod);
 }
 
-gsPool& gsDispatcher::PoolOf(std::string const& name)
+gsPool& gsDispatcher::FindOrCreatePool(std::string const& name)
 {
-  auto found = this->Table.find(name);
-  if (found == this->Table.end()) {
-    found = this->Table.emplace(name, gsPool{}).first;
+  auto found = this->PoolTable.find(name);
+  if (found == this->PoolTable.end()) {
+    found = this->PoolTable.emplace(name, gsPool{}).first;
     found->second.Name = name;
     found->second.Settings = this->Settings.Pool;
   }
   return found->second;
 }
 
-void gsDispatcher::Touch(std::string const& pool)
+void gsDispatcher::MarkDirty(std::string const& pool)
 {
-  this->Dirty.insert(pool);
-  if (!this->Ticking) {
-    this->Ticking = true;
+  this->DirtyPools.insert(pool);
+  if (!this->TimerRunning) {
+    this->TimerRunning = true;
     this->Timer.Every(TickPeriod);
   }
 }
 
-void gsDispatcher::TakeDocument(gsDocument const& document)
+void gsDispatcher::ApplyDocument(gsDocument const& document)
 {
   this->Document = &document;
   std::map<std::string, std::size_t> seen;
@@ -123,8 +124,9 @@
     if (entry.Hall != this->Settings.Hall) {
       continue;
     }
-    std::size_t part = seen[entry.Service]++ / gsMaxPoolUpstreams;
-    gsPool& pool = this->PoolOf(gsPoolName(entry.Service, entry.Hall, part));
+    std::size_t part = seen[entry.Service]++ / gsMaxUpstreamsPerPool;
+    gsPool& pool =
+      this->FindOrCreatePool(gsPoolName(entry.Service, entry.Hall, part));
     gsUpstreamRow* row = gsFindUpstream(pool, entry.Name);
     if (row == nullptr) {
       pool.Upstreams.emplace_back();
@@ -136,11 +138,11 @@
     row->Adaptive = entry.Kind == gsUpstreamKind::Engine;
     row->MaxLimit = entry.MaxSlots;
     row->Limit = std::min(row->Limit, row->MaxLimit);
-    this->Touch(pool.Name);
+    this->MarkDirty(pool.Name);
   }
-  for (auto& [name, pool] : this->Table) {
+  for (auto& [name, pool] : this->PoolTable) {
     for (std::size_t rank = 0; rank < document.Tiers.size(); ++rank) {
-      gsTierOf(pool, static_cast<std::uint32_t>(rank)).AgeLimit =
+      gsTierQueueOf(pool, static_cast<std::uint32_t>(rank)).AgeLimit =
         document.Tiers[rank].AgeLimit;
     }
   }
@@ -152,98 +154,105 @@
   if (this->Document == nullptr) {
     return;
   }
-  for (auto& [name, pool] : this->Table) {
+  for (auto& [name, pool] : this->PoolTable) {
     for (gsUpstreamRow& row : pool.Upstreams) {
       gsUpstream const* entry =
         gsFindByName(this->Document->Upstreams, row.Name);
       bool listed =
         entry != nullptr && entry->State == gsUpstreamState::Active;
-      row.Leaving = !listed || this->Call.IsLeaving(row.Name, row.Incarnation);
+      row.Leaving =
+        !listed || this->Callbacks.IsLeaving(row.Name, row.Incarnation);
     }
-    this->Touch(name);
+    this->MarkDirty(name);
   }
 }
 
-void gsDispatcher::Ask(gsAsk ask, std::uint64_t link)
+void gsDispatcher::RequestGrant(gsGrantRequest ask, std::uint64_t link)
 {
-  gsPool& pool = this->PoolOf(ask.Pool);
-  bool any =
+  gsPool& pool = this->FindOrCreatePool(ask.Pool);
+  bool hasActive =
     std::any_of(pool.Upstreams.begin(), pool.Upstreams.end(),
                 [](gsUpstreamRow const& row) { return !row.Leaving; });
   bool usable =
-    std::any_of(pool.Upstreams.begin(), pool.Upstreams.end(), &gsUsable);
-  if (!any || (!usable && !ask.Patient)) {
+    std::any_of(pool.Upstreams.begin(), pool.Upstreams.end(), &gsIsUsable);
+  if (!hasActive || (!usable && !ask.WaitWhileEjected)) {
     this->RefuseUnqueued(ask, link,
-                         any ? gsRefusalCause::AllEjected
-                             : gsRefusalCause::NoUpstream);
+                         hasActive ? gsRefusalCause::AllEjected
+                                   : gsRefusalCause::NoUpstream);
     return;
   }
   std::string name = ask.Pool;
   gsAdmit(pool, std::move(ask), link, gsLoop::Now());
-  this->Touch(name);
+  this->MarkDirty(name);
 }
 
-/** Refuses a request that no upstream of the pool could take now. */
-void gsDispatcher::RefuseUnqueued(gsAsk const& ask, std::uint64_t link,
-                                  gsRefusalCause cause)
+/** Refuses a request without queueing it, because no upstream of the pool can
+ * take it now. */
+void gsDispatcher::RefuseUnqueued(gsGrantRequest const& ask,
+                                  std::uint64_t link, gsRefusalCause cause)
 {
   gsRefusal refusal;
   refusal.Id = ask.Id;
   refusal.Link = link;
   refusal.Pool = ask.Pool;
   refusal.Cause = cause;
-  refusal.RetryAfter = this->Settings.Pool.EjectBase;
+  refusal.RetryAfter = this->Settings.Pool.EjectBackoff;
   refusal.Tier = ask.Tier;
   refusal.Organisation = ask.Organisation;
   refusal.Template = ask.Template;
   LogRefusal(refusal);
-  this->Loop.Defer([this, refusal] { this->Call.OnRefusal(refusal); });
+  this->Loop.Defer([this, refusal] { this->Callbacks.OnRefusal(refusal); });
 }
 
 void gsDispatcher::Withdraw(std::string const& pool, gsRequestId const& id)
 {
-  gsWithdraw(this->PoolOf(pool), id);
+  gsWithdraw(this->FindOrCreatePool(pool), id);
 }
 
-void gsDispatcher::Progress(std::string const& pool, gsRequestId const& id,
-                            gsTime firstToken, gsTime gap)
+void gsDispatcher::ReportProgress(std::string const& pool,
+                                  gsRequestId const& id, gsTime firstToken,
+                                  gsTime gap)
 {
-  // Limits move with the next tick; a tick for each report would cost more.
-  gsObserve(this->PoolOf(pool), id, firstToken, gap);
+  // The pool is not marked dirty: limits are adjusted at the next tick, which
+  // is cheaper than running the pool for each report.
+  gsRecordLatency(this->FindOrCreatePool(pool), id, firstToken, gap);
 }
 
 void gsDispatcher::Release(std::string const& pool, gsRequestId const& id,
-                           gsOutcome outcome, gsMeasured const& measured)
+                           gsGrantOutcome outcome,
+                           gsGrantMeasurements const& measured)
 {
   gsPoolOutput out;
-  gsRelease(this->PoolOf(pool), id, outcome, measured, gsLoop::Now(), out);
+  gsReleaseGrant(this->FindOrCreatePool(pool), id, outcome, measured,
+                 gsLoop::Now(), out);
   this->LogEvents(pool, out);
-  this->Touch(pool);
+  this->MarkDirty(pool);
 }
 
-void gsDispatcher::Adopt(gsAsk const& ask, std::string_view upstream,
-                         std::uint64_t link)
+void gsDispatcher::AdoptRunning(gsGrantRequest const& ask,
+                                std::string_view upstream, std::uint64_t link)
 {
-  gsAdopt(this->PoolOf(ask.Pool), ask, upstream, link, gsLoop::Now());
+  gsAdoptRunning(this->FindOrCreatePool(ask.Pool), ask, upstream, link,
+                 gsLoop::Now());
 }
 
-void gsDispatcher::LinkDown(std::uint64_t link)
+void gsDispatcher::OnLinkDown(std::uint64_t link)
 {
-  for (auto& [name, pool] : this->Table) {
+  for (auto& [name, pool] : this->PoolTable) {
     gsWithdrawLink(pool, link);
   }
-  this->Orphaned[link] = gsLoop::Now();
-  for (auto const& [name, pool] : this->Table) {
-    this->Touch(name);
+  this->BrokenLinks[link] = gsLoop::Now();
+  for (auto const& [name, pool] : this->PoolTable) {
+    this->MarkDirty(name);
   }
 }
 
-void gsDispatcher::Pause(bool paused)
+void gsDispatcher::SetPaused(bool paused)
 {
   this->Paused = paused;
   if (!paused) {
-    for (auto const& [name, pool] : this->Table) {
-      this->Touch(name);
+    for (auto const& [name, pool] : this->PoolTable) {
+      this->MarkDirty(name);
     }
   }
 }
@@ -251,42 +260,44 @@
 void gsDispatcher::Tick()
 {
   gsTime now = gsLoop::Now();
-  for (auto link = this->Orphaned.begin(); link != this->Orphaned.end();) {
-    if (now - link->second < OrphanTime) {
+  for (auto link = this->BrokenLinks.begin();
+       link != this->BrokenLinks.end();) {
+    if (now - link->second < BrokenLinkTimeout) {
       ++link;
       continue;
     }
-    for (auto& [name, pool] : this->Table) {
-      gsForgetLink(pool, link->first);
+    for (auto& [name, pool] : this->PoolTable) {
+      gsReleaseLink(pool, link->first);
     }
-    link = this->Orphaned.erase(link);
+    link = this->BrokenLinks.erase(link);
   }
-  bool busy = !this->Orphaned.empty();
-  for (auto const& [name, pool] : this->Table) {
+  bool busy = !this->BrokenLinks.empty();
+  for (auto const& [name, pool] : this->PoolTable) {
     if (!pool.Waiting.empty() || !pool.Running.empty()) {
       busy = true;
-      this->Touch(name);
+      this->MarkDirty(name);
     }
   }
   if (!busy) {
-    // An idle host does not wake for it; the next news starts it again.
-    this->Ticking = false;
+    // The timer of an idle host stops; the next change of a pool restarts it.
+    this->TimerRunning = false;
     this->Timer.Stop();
   }
 }
 
-void gsDispatcher::RunDirty()
+void gsDispatcher::RunDirtyPools()
 {
   if (this->Paused) {
     return;
   }
-  // Carrying decisions out may give a pool news again.
+  // Callbacks for grants and refusals may mark pools dirty again.
   constexpr int maxRounds = 8;
-  for (int round = 0; round < maxRounds && !this->Dirty.empty(); ++round) {
+  for (int round = 0; round < maxRounds && !this->DirtyPools.empty();
+       ++round) {
     std::set<std::string> dirty;
-    dirty.swap(this->Dirty);
+    dirty.swap(this->DirtyPools);
     for (std::string const& name : dirty) {
-      this->Run(this->PoolOf(name));
+      this->Run(this->FindOrCreatePool(name));
     }
   }
 }
@@ -298,14 +309,15 @@
   this->LogEvents(pool.Name, out);
   for (gsGrant const& grant : out.Grants) {
     LogGrant(grant);
-    this->Call.OnGrant(grant);
+    this->Callbacks.OnGrant(grant);
   }
   for (gsRefusal const& refusal : out.Refusals) {
     LogRefusal(refusal);
-    this->Metrics.Count("gradescale_refusals_total",
-                        gsLabels({ { "tier", std::to_string(refusal.Tier) },
-                                   { "cause", gsCauseWord(refusal.Cause) } }));
-    this->Call.OnRefusal(refusal);
+    this->Metrics.Increment(
+      "gradescale_refusals_total",
+      gsLabels({ { "tier", std::to_string(refusal.Tier) },
+                 { "cause", gsRefusalCauseName(refusal.Cause) } }));
+    this->Callbacks.OnRefusal(refusal);
   }
 }
 
@@ -324,8 +336,8 @@
   if (this->Document == nullptr) {
     return;
   }
-  for (auto& [name, pool] : this->Table) {
-    if (!this->Call.IsOurs(name) && pool.Running.empty()) {
+  for (auto& [name, pool] : this->PoolTable) {
+    if (!this->Callbacks.IsOurs(name) && pool.Running.empty()) {
       continue;
     }
     for (gsUpstreamRow& row : pool.Upstreams) {
@@ -333,7 +345,7 @@
         gsFindByName(this->Document->Upstreams, row.Name);
       bool polled = entry != nullptr && row.Adaptive &&
                     entry->State != gsUpstreamState::Stopped &&
-                    this->LoadAsked.insert(row.Name).second;
+                    this->PendingLoadPolls.insert(row.Name).second;
       if (!polled) {
         continue;
       }
@@ -353,13 +365,14 @@
 void gsDispatcher::OnLoad(std::string const& pool, std::string const& upstream,
                           gsAnswer const& answer)
 {
-  this->LoadAsked.erase(upstream);
+  this->PendingLoadPolls.erase(upstream);
   constexpr unsigned statusOk = 200;
   bool answered = answer.End.Whole && answer.End.Status == statusOk;
   gsPoolOutput out;
-  gsNotePoll(this->PoolOf(pool), upstream, answered, gsLoop::Now(), out);
+  gsRecordPoll(this->FindOrCreatePool(pool), upstream, answered, gsLoop::Now(),
+               out);
   this->LogEvents(pool, out);
-  this->Touch(pool);
+  this->MarkDirty(pool);
   if (!answered) {
     return;
   }
@@ -369,10 +382,11 @@
   }
   auto waiting = body.find("waiting");
   if (waiting != body.end() && waiting->is_number_unsigned()) {
-    gsReportLoad(this->PoolOf(pool), upstream, waiting->get<std::uint32_t>());
+    gsApplyUpstreamLoad(this->FindOrCreatePool(pool), upstream,
+                        waiting->get<std::uint32_t>());
   }
   auto incarnation = body.find("incarnation");
-  gsUpstreamRow* row = gsFindUpstream(this->PoolOf(pool), upstream);
+  gsUpstreamRow* row = gsFindUpstream(this->FindOrCreatePool(pool), upstream);
   if (incarnation == body.end() || !incarnation->is_string() ||
       row == nullptr) {
     return;
@@ -381,20 +395,20 @@
   row->Incarnation = incarnation->get<std::string>();
   auto leaving = body.find("leaving");
   if (leaving != body.end() && leaving->is_boolean() && leaving->get<bool>()) {
-    this->Call.OnLeaving(upstream, row->Incarnation);
+    this->Callbacks.OnLeaving(upstream, row->Incarnation);
   }
   if (changed) {
     this->RefreshLeaving();
   }
 }
 
-void gsDispatcher::WriteGauges()
+void gsDispatcher::UpdateGauges()
 {
-  this->Metrics.Clear("gradescale_queue");
-  this->Metrics.Clear("gradescale_upstream_running");
-  this->Metrics.Clear("gradescale_upstream_limit");
-  this->Metrics.Clear("gradescale_upstream_healthy");
-  for (auto const& [name, pool] : this->Table) {
+  this->Metrics.RemoveValues("gradescale_queue");
+  this->Metrics.RemoveValues("gradescale_upstream_running");
+  this->Metrics.RemoveValues("gradescale_upstream_limit");
+  this->Metrics.RemoveValues("gradescale_upstream_healthy");
+  for (auto const& [name, pool] : this->PoolTable) {
     for (std::size_t rank = 0; rank < pool.Tiers.size(); ++rank) {
       this->Metrics.Set(
         "gradescale_queue",
@@ -404,10 +418,10 @@
     for (gsUpstreamRow const& row : pool.Upstreams) {
       std::string labels = gsLabels({ { "upstream", row.Name } });
       this->Metrics.Set("gradescale_upstream_running", labels,
-                        row.Running + row.Reserved);
+                        row.Running + row.RunningReserved);
       this->Metrics.Set("gradescale_upstream_limit", labels, row.Limit);
       this->Metrics.Set("gradescale_upstream_healthy", labels,
-                        gsUsable(row) ? 1 : 0);
+                        gsIsUsable(row) ? 1 : 0);
     }
   }
 }
--- a/Source/Daemon/gsDispatcher.h
+++ b/Source/Daemon/gsDispatcher.h
@@ -1,8 +1,11 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * The dispatching side of a host: the pools that it is asked for, run by the
- * core's systems, and the load reports of their upstreams.
+ * Dispatches the requests of a host's pools. A pool is a part of a service's
+ * upstreams in one hall; it queues grant requests and assigns them to
+ * upstreams by the functions of gsPool.h. Grants and refusals are delivered
+ * through callbacks. The dispatcher also polls the load of the upstreams in
+ * its hall.
  */
 #pragma once
 
@@ -21,19 +24,21 @@
 #include "gsPool.h"
 #include "gsSettings.h"
 
-/** The link number of this host itself. */
+/** Link number of grant requests that originate on this host. */
 constexpr std::uint64_t gsLocalLink = 0;
 
-/** Upstreams a pool; a service with more in a hall is split. */
-constexpr std::size_t gsMaxPoolUpstreams = 32;
+/** Max. upstreams per pool. A service with more in a hall is split into
+ * several pools. */
+constexpr std::size_t gsMaxUpstreamsPerPool = 32;
 
-/** Name of a pool. */
+/** Name of one part of a service's pool in a hall. */
 std::string gsPoolName(std::string_view service, std::string_view hall,
                        std::size_t part);
 
-/** In how many pools a service of a hall is split; 0 when there is none. */
-std::size_t gsPoolParts(gsDocument const& document, std::string_view service,
-                        std::string_view hall);
+/** Number of pools that a service of a hall is split into; 0 if the hall has
+ * no upstream of the service. */
+std::size_t gsPoolPartCount(gsDocument const& document,
+                            std::string_view service, std::string_view hall);
 
 class gsDispatcher
 {
@@ -42,53 +47,60 @@
   {
     std::function<void(gsGrant const& grant)> OnGrant;
     std::function<void(gsRefusal const& refusal)> OnRefusal;
-    /** Whether the upstream's incarnation is known to leave. */
+    /** Whether the incarnation of the upstream is marked as shutting down. */
     std::function<bool(std::string const& upstream,
                        std::string const& incarnation)>
       IsLeaving;
-    /** An upstream reported that it leaves. */
+    /** Called when an upstream reports that it is shutting down. */
     std::function<void(std::string const& upstream,
                        std::string const& incarnation)>
       OnLeaving;
-    /** Whether this host dispatches the pool in the members' view. */
+    /** Whether this host dispatches the pool by the current membership. */
     std::function<bool(std::string const& pool)> IsOurs;
   };
 
   gsDispatcher(gsLoop& loop, gsHttpClient& client, gsSettings const& settings,
                gsMetrics& metrics, Hooks hooks);
 
-  /** Takes over the upstreams of this hall from the document. */
-  void TakeDocument(gsDocument const& document);
-  /** Looks at the leaving marks anew. */
+  /** Updates the pools from the upstreams that the document lists for this
+   * hall. */
+  void ApplyDocument(gsDocument const& document);
+  /** Updates from the hooks which upstreams are shutting down. */
   void RefreshLeaving();
 
-  void Ask(gsAsk ask, std::uint64_t link);
+  /** Queues a grant request, or refuses it if no upstream can take it. */
+  void RequestGrant(gsGrantRequest ask, std::uint64_t link);
   void Withdraw(std::string const& pool, gsRequestId const& id);
-  void Progress(std::string const& pool, gsRequestId const& id,
-                gsTime firstToken, gsTime gap);
+  void ReportProgress(std::string const& pool, gsRequestId const& id,
+                      gsTime firstToken, gsTime gap);
   void Release(std::string const& pool, gsRequestId const& id,
-               gsOutcome outcome, gsMeasured const& measured);
-  void Adopt(gsAsk const& ask, std::string_view upstream, std::uint64_t link);
-  void LinkDown(std::uint64_t link);
+               gsGrantOutcome outcome, gsGrantMeasurements const& measured);
+  /** Counts a request that is already running, granted by another dispatcher.
+   */
+  void AdoptRunning(gsGrantRequest const& ask, std::string_view upstream,
+                    std::uint64_t link);
+  /** Withdraws the link's waiting requests. Its running ones keep their slots
+   * for 3 s, so that another link can adopt them. */
+  void OnLinkDown(std::uint64_t link);
 
-  /** Runs the pools that have news. Called before the loop waits. */
-  void RunDirty();
+  /** Runs the pools that have changed. Called before the loop waits. */
+  void RunDirtyPools();
 
-  /** While paused, nothing is granted. */
-  void Pause(bool paused);
+  /** Suspends or resumes dispatching. While paused, nothing is granted. */
+  void SetPaused(bool paused);
 
   std::map<std::string, gsPool, std::less<>> const& Pools() const
   {
-    return this->Table;
+    return this->PoolTable;
   }
-  void WriteGauges();
+  void UpdateGauges();
 
 private:
-  gsPool& PoolOf(std::string const& name);
-  void Touch(std::string const& pool);
+  gsPool& FindOrCreatePool(std::string const& name);
+  void MarkDirty(std::string const& pool);
   void Tick();
   void Run(gsPool& pool);
-  void RefuseUnqueued(gsAsk const& ask, std::uint64_t link,
+  void RefuseUnqueued(gsGrantRequest const& ask, std::uint64_t link,
                       gsRefusalCause cause);
   void LogEvents(std::string const& pool, gsPoolOutput const& out);
   void PollLoads();
@@ -99,14 +111,16 @@
   gsHttpClient& Client;
   gsSettings const& Settings;
   gsMetrics& Metrics;
-  Hooks Call;
+  Hooks Callbacks;
   gsTimer Timer;
   gsTimer LoadTimer;
   gsDocument const* Document = nullptr;
-  std::map<std::string, gsPool, std::less<>> Table;
-  std::set<std::string> Dirty;
-  std::set<std::string> LoadAsked; ///< Upstreams with a poll under way.
-  std::unordered_map<std::uint64_t, gsTime> Orphaned; ///< Links that broke.
+  std::map<std::string, gsPool, std::less<>> PoolTable; ///< By name.
+  std::set<std::string> DirtyPools; ///< Pools to run before the loop waits.
+  std::set<std::string>
+    PendingLoadPolls; ///< Upstreams with a load poll in progress.
+  std::unordered_map<std::uint64_t, gsTime>
+    BrokenLinks; ///< Broken links, by the time of their loss.
   bool Paused = false;
-  bool Ticking = false;
+  bool TimerRunning = false; ///< Whether Timer runs; it stops when idle.
 };
--- a/Source/Daemon/gsDrainGossip.cxx
+++ b/Source/Daemon/gsDrainGossip.cxx
@@ -10,13 +10,15 @@
 
 namespace {
 
-std::optional<std::uint64_t> ReadBirth(std::string const& text)
+/** Parses the start time that identifies an incarnation. */
+std::optional<std::uint64_t> ParseStartTime(std::string const& text)
 {
-  std::uint64_t born = 0;
+  std::uint64_t startedAt = 0;
   char const* end = text.data() + text.size();
-  auto parsed = std::from_chars(text.data(), end, born);
-  bool good = !text.empty() && parsed.ec == std::errc() && parsed.ptr == end;
-  return good ? std::optional<std::uint64_t>(born) : std::nullopt;
+  auto parsed = std::from_chars(text.data(), end, startedAt);
+  bool isValid =
+    !text.empty() && parsed.ec == std::errc() && parsed.ptr == end;
+  return isValid ? std::optional<std::uint64_t>(startedAt) : std::nullopt;
 }
 
 } // namespace
@@ -28,7 +30,7 @@
     if (gradescale::Frame* frame = this->Cluster->ToHost(host)) {
       gradescale::Leaving* wire = frame->add_leaving();
       wire->set_upstream(upstream.Id);
-      wire->set_incarnation(std::to_string(upstream.Born));
+      wire->set_incarnation(std::to_string(upstream.StartedAt));
     }
   }
 }
@@ -49,22 +51,24 @@
   }
   gsTime now = gsLoop::Now();
   std::string const hall(gsHallOf(this->Cluster->Members(), host));
-  bool relays =
+  bool isRelay =
     gsHallRelay(this->Cluster->Members(), now) == this->Cluster->Self();
   for (gradescale::Leaving const& wire : frame.leaving()) {
-    std::optional<std::uint64_t> born = ReadBirth(wire.incarnation());
-    if (!born || !gsIsPlainId(wire.upstream())) {
+    std::optional<std::uint64_t> startedAt =
+      ParseStartTime(wire.incarnation());
+    if (!startedAt || !gsIsPrintableId(wire.upstream())) {
       continue;
     }
-    gsIncarnation const upstream{ wire.upstream(), *born };
-    if (!gsNoteWord(this->Fleet, upstream, { true, {}, {}, false }, now)) {
+    gsIncarnation const upstream{ wire.upstream(), *startedAt };
+    if (!gsApplyAnnouncement(this->Fleet, upstream, { true, {}, {}, false },
+                             now)) {
       continue;
     }
     gsLogLine("upstream_told_leaving")
       .With("upstream", upstream.Id)
-      .With("born", upstream.Born)
+      .With("born", upstream.StartedAt)
       .With("from", host);
-    if (relays) {
+    if (isRelay) {
       this->Send(upstream, gsGossipReceivers(*this->Cluster, hall,
                                              this->Fleet.Settings.Hall));
     }
--- a/Source/Daemon/gsDuties.cxx
+++ b/Source/Daemon/gsDuties.cxx
@@ -23,23 +23,24 @@
   this->Usage.Start(cluster);
 }
 
-bool gsDuties::Coordinates(gsTime now) const
+bool gsDuties::IsCoordinator(gsTime now) const
 {
-  return gsHallCoordinates(this->Cluster->Members(), now);
+  return gsHallIsCoordinator(this->Cluster->Members(), now);
 }
 
-void gsDuties::Hear(std::string const& host, gradescale::Frame const& frame)
+void gsDuties::ReceiveFrame(std::string const& host,
+                            gradescale::Frame const& frame)
 {
   gsTime now = gsLoop::Now();
-  if (frame.clock_us() != 0 && this->Coordinates(now)) {
-    gsClockHear(this->Clocks, host, frame.clock_us(), false, now);
+  if (frame.clock_us() != 0 && this->IsCoordinator(now)) {
+    gsClockReceive(this->Clocks, host, frame.clock_us(), false, now);
   } else if (frame.agreed_clock_us() != 0) {
-    gsClockHear(this->Clocks, host, frame.agreed_clock_us(), true, now);
+    gsClockReceive(this->Clocks, host, frame.agreed_clock_us(), true, now);
   }
   if (frame.has_lease()) {
-    this->Lease.Hear(frame.lease(), now);
+    this->Lease.ReceiveUpdate(frame.lease(), now);
   }
-  this->Usage.Hear(host, frame);
+  this->Usage.ReceiveFrame(host, frame);
 }
 
 void gsDuties::FillHeader(gradescale::Frame& frame) const
@@ -47,18 +48,18 @@
   gsTime now = gsLoop::Now();
   auto own = static_cast<gsWallTime>(gsWallMicros());
   frame.set_clock_us(own);
-  if (this->Cluster != nullptr && this->Coordinates(now)) {
+  if (this->Cluster != nullptr && this->IsCoordinator(now)) {
     frame.set_agreed_clock_us(gsClockNow(this->Clocks, own, true, now));
-    this->Lease.Fill(frame, now);
+    this->Lease.FillUpdate(frame, now);
   }
 }
 
 void gsDuties::Tick(std::shared_ptr<gsRouteTable const> const& table,
                     double millisPerToken, gsTime now)
 {
-  gsClockForget(this->Clocks, now);
-  this->Lease.Tick(this->Cluster->Members(), this->Stopping, now);
-  this->TellRenewal(now);
+  gsClockExpire(this->Clocks, now);
+  this->Lease.Tick(this->Cluster->Members(), this->IsStopping, now);
+  this->AnnounceRenewal(now);
   if (this->Settings.Duties.Usage) {
     this->Usage.Tick(now);
   }
@@ -68,33 +69,34 @@
 }
 
 /**
- * Tells all who may succeed of each renewal at once. One who knows an older
- * version learns of the newer by a refused write, and has to wait the whole
- * time from then: 5.5 s until a frozen holder was succeeded, in place of 3.4.
+ * Announces each renewal immediately to all hosts that may take over the
+ * lease. A host that knows only an older version learns the newer one from a
+ * refused write and has to wait for the full lease duration from then on: a
+ * frozen holder was replaced after 5.5 s instead of 3.4 s.
  */
-void gsDuties::TellRenewal(gsTime now)
+void gsDuties::AnnounceRenewal(gsTime now)
 {
   gsLease const& lease = this->Lease.State();
-  if (!gsLeaseHolds(lease, now) || lease.Token == this->ToldToken) {
+  if (!gsLeaseIsHeld(lease, now) || lease.Token == this->AnnouncedToken) {
     return;
   }
-  this->ToldToken = lease.Token;
+  this->AnnouncedToken = lease.Token;
   gsHallMembership const& members = this->Cluster->Members();
-  std::vector<std::string> hosts = gsHallOrder(members, now);
-  hosts.resize(std::min(hosts.size(), members.Settings.Coordinators));
+  std::vector<std::string> hosts = gsHallDutyOrder(members, now);
+  hosts.resize(std::min(hosts.size(), members.Settings.MaxCoordinators));
   for (std::string const& host : gsOtherCoordinators(members, now)) {
     hosts.push_back(host);
   }
   for (std::string const& host : hosts) {
     if (host != this->Settings.Host) {
-      this->Cluster->ToHost(host); // The header alone says what is needed.
+      this->Cluster->ToHost(host); // The header alone carries the lease.
     }
   }
 }
 
-void gsDuties::NoteBegan(std::string const& organisation, gsTime began)
+void gsDuties::CountRequest(std::string const& organisation, gsTime began)
 {
-  this->Usage.Count(organisation, began);
+  this->Usage.CountRequest(organisation, began);
 }
 
 nlohmann::json gsDuties::Status(gsTime now) const
@@ -103,25 +105,26 @@
   gsUsageReporter const& usage = this->Usage.Reporter();
   nlohmann::json status;
   status["holder"] = gsLeaseHolder(lease, now);
-  status["holds"] = gsLeaseHolds(lease, now);
+  status["holds"] = gsLeaseIsHeld(lease, now);
   status["token"] = lease.Row.Version;
   status["seen_ms"] = lease.SeenAt.count() == 0
                         ? nlohmann::json()
                         : nlohmann::json((now - lease.SeenAt).count() / 1000);
-  status["windows_reported"] = usage.DoneCount;
-  status["windows_due"] = gsUsageOpen(usage);
-  status["next_window"] = usage.Next;
-  status["last_refusal"] = this->Usage.LastRefusal();
+  status["windows_reported"] = usage.ReportedCount;
+  status["windows_due"] = gsUsageUnreportedWindows(usage);
+  status["next_window"] = usage.NextWindow;
+  status["last_refusal"] = this->Usage.LastFailure();
   return status;
 }
 
 void gsDuties::WriteGauges(gsMetrics& metrics, gsTime now) const
 {
   metrics.Set("gradescale_lease_held", {},
-              gsLeaseHolds(this->Lease.State(), now) ? 1 : 0);
+              gsLeaseIsHeld(this->Lease.State(), now) ? 1 : 0);
   metrics.Set("gradescale_lease_taken_total", {},
-              static_cast<double>(this->Lease.State().Taken));
+              static_cast<double>(this->Lease.State().AcquiredCount));
   metrics.Set("gradescale_duty_calls_total", {},
-              static_cast<double>(this->Lease.Calls() + this->Usage.Calls() +
-                                  this->Scale.Calls()));
+              static_cast<double>(this->Lease.CallCount() +
+                                  this->Usage.CallCount() +
+                                  this->Scale.CallCount()));
 }
--- a/Source/Daemon/gsDuties.h
+++ b/Source/Daemon/gsDuties.h
@@ -1,8 +1,9 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * The duties that one host at a time has towards the platform, put together:
- * the lease, true time, the reports of usage, and the orders of upstreams.
+ * Combines the duties towards the platform that one host at a time performs:
+ * holding the lease, reporting usage and ordering upstreams. It also maintains
+ * the agreed wall-clock time, by which usage is assigned to windows.
  */
 #pragma once
 
@@ -20,32 +21,40 @@
 class gsDuties
 {
 public:
-  /** All that is referred to outlives this. */
+  /** All referenced objects have to outlive this one. */
   gsDuties(gsHttpClient& client, gsAdapter const& adapter,
            gsSettings const& settings, gsMetrics& metrics,
            gsFleet const& fleet, std::uint64_t incarnation);
 
+  /** Has to be called before all other methods except FillHeader; the cluster
+   * has to outlive this object. */
   void Start(gsHallCluster& cluster);
-  /** This host stops as planned, and holds no duty any longer than it must. */
-  void Stop() { this->Stopping = true; }
+  /** Marks this host as stopping: it no longer acquires or renews the lease,
+   * which then expires. */
+  void Stop() { this->IsStopping = true; }
 
-  void Hear(std::string const& host, gradescale::Frame const& frame);
-  /** Tells in a frame's header what this host knows of time and lease. */
+  /** Applies the clock, the lease state and the usage counts in a frame. */
+  void ReceiveFrame(std::string const& host, gradescale::Frame const& frame);
+  /** Adds this host's clock to a frame's header, and on a coordinator also the
+   * agreed time and the lease state. */
   void FillHeader(gradescale::Frame& frame) const;
-  /** To be run some ten times a second; see gsScaleDuty::Tick. */
+  /** Performs due work; to be called about ten times per second. The
+   * parameters are those of gsScaleDuty::Tick. */
   void Tick(std::shared_ptr<gsRouteTable const> const& table,
             double millisPerToken, gsTime now);
 
-  /** A request began to run at an upstream. */
-  void NoteBegan(std::string const& organisation, gsTime began);
+  /** Counts a request that began executing at an upstream. */
+  void CountRequest(std::string const& organisation, gsTime began);
 
-  /** For the operator: holder, token, ages, windows. */
+  /** Status for operators: lease holder, fencing token, age of the lease state
+   * and reported windows. */
   nlohmann::json Status(gsTime now) const;
+  /** Updates the metrics of the lease and of calls to the platform. */
   void WriteGauges(gsMetrics& metrics, gsTime now) const;
 
 private:
-  bool Coordinates(gsTime now) const;
-  void TellRenewal(gsTime now);
+  bool IsCoordinator(gsTime now) const;
+  void AnnounceRenewal(gsTime now);
 
   gsSettings const& Settings;
   gsHallCluster* Cluster = nullptr; ///< Set by Start.
@@ -53,6 +62,7 @@
   gsLeaseKeeper Lease;
   gsUsageDuty Usage;
   gsScaleDuty Scale;
-  std::uint64_t ToldToken = 0; ///< Of the last renewal that others know.
-  bool Stopping = false;
+  /** Fencing token of the last renewal announced to other hosts. */
+  std::uint64_t AnnouncedToken = 0;
+  bool IsStopping = false;
 };
--- a/Source/Daemon/gsEventSplitter.cxx
+++ b/Source/Daemon/gsEventSplitter.cxx
@@ -9,8 +9,8 @@
 
 constexpr std::string_view IdField = "id:";
 
-/** The id that an event carries, if it carries one. */
-std::optional<std::uint64_t> IdOf(std::string_view event)
+/** The id of an event; empty if it has none or the id is not a number. */
+std::optional<std::uint64_t> ParseEventId(std::string_view event)
 {
   std::size_t start = 0;
   while (start < event.size()) {
@@ -31,52 +31,53 @@
   return std::nullopt;
 }
 
-/** Length of the first event, its blank line included; 0 if not whole. */
-std::size_t EventLength(std::string_view text, std::size_t from)
+/** Offset just after the first event that ends after `from`, including its
+ * blank line; 0 if the event is incomplete. */
+std::size_t FindEventEnd(std::string_view text, std::size_t from)
 {
-  std::size_t feed = text.find('\n', from);
-  while (feed != std::string_view::npos) {
-    std::size_t next = feed + 1;
+  std::size_t lineFeed = text.find('\n', from);
+  while (lineFeed != std::string_view::npos) {
+    std::size_t next = lineFeed + 1;
     if (next < text.size() && text[next] == '\r') {
       ++next;
     }
     if (next < text.size() && text[next] == '\n') {
       return next + 1;
     }
-    feed = text.find('\n', feed + 1);
+    lineFeed = text.find('\n', lineFeed + 1);
   }
   return 0;
 }
 
 } // namespace
 
-std::string gsEventSplitter::Feed(std::string_view bytes)
+std::string gsEventSplitter::Append(std::string_view bytes)
 {
   this->Buffer.append(bytes);
-  std::string whole;
+  std::string complete;
   std::size_t begin = 0;
   std::string_view text = this->Buffer;
   std::size_t from = this->Scanned;
-  std::size_t length = EventLength(text, from);
+  std::size_t length = FindEventEnd(text, from);
   while (length != 0) {
     std::string_view event = text.substr(begin, length - begin);
-    std::optional<std::uint64_t> id = IdOf(event);
-    bool known = this->Skip && id && *id <= *this->Skip;
-    if (!known) {
-      whole.append(event);
+    std::optional<std::uint64_t> id = ParseEventId(event);
+    bool isSkipped = this->Skip && id && *id <= *this->Skip;
+    if (!isSkipped) {
+      complete.append(event);
       this->Last = id ? id : this->Last;
       ++this->Count;
     }
     begin = length;
-    length = EventLength(text, begin);
+    length = FindEventEnd(text, begin);
   }
   this->Buffer.erase(0, begin);
-  // The last two bytes may be the beginning of an event's end.
+  // The last two bytes may be the start of an event terminator.
   this->Scanned = this->Buffer.size() < 2 ? 0 : this->Buffer.size() - 2;
-  return whole;
+  return complete;
 }
 
-std::string gsEventSplitter::TakeRest()
+std::string gsEventSplitter::TakeRemainder()
 {
   this->Scanned = 0;
   return std::exchange(this->Buffer, {});
--- a/Source/Daemon/gsEventSplitter.h
+++ b/Source/Daemon/gsEventSplitter.h
@@ -1,9 +1,9 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * Cuts a stream of events (text/event-stream) into whole events, so that what
- * a broken upstream sent of its last event never reaches the caller, and so
- * that a stream can be taken up after the last whole one.
+ * Splits a stream of server-sent events (text/event-stream) into complete
+ * events. A partial last event of a failed upstream therefore never reaches
+ * the caller, and a stream can be resumed after its last complete event.
  */
 #pragma once
 
@@ -15,24 +15,29 @@
 class gsEventSplitter
 {
 public:
-  /** Drops events up to this id: the caller has them already. */
+  /** Drops events with ids up to this one, which the caller has already
+   * received. */
   void SkipThrough(std::uint64_t id) { this->Skip = id; }
 
-  /** Takes bytes in; returns all whole events that are to be passed on. */
-  std::string Feed(std::string_view bytes);
+  /** Appends received bytes; returns all newly completed events that are not
+   * dropped. */
+  std::string Append(std::string_view bytes);
 
-  /** What is left when the stream has ended as a whole. */
-  std::string TakeRest();
+  /** Removes and returns the buffered bytes after the last complete event. For
+   * use when the stream has ended properly. */
+  std::string TakeRemainder();
 
-  /** Id of the last event that was returned. */
+  /** Id of the last returned event that has one. */
   std::optional<std::uint64_t> LastId() const { return this->Last; }
-  std::uint64_t Events() const { return this->Count; }
-  std::size_t Pending() const { return this->Buffer.size(); }
+  std::uint64_t EventCount() const { return this->Count; }
+  std::size_t BufferedBytes() const { return this->Buffer.size(); }
 
 private:
-  std::string Buffer;      ///< Begins with an event's first byte.
-  std::size_t Scanned = 0; ///< No event ends before it.
-  std::optional<std::uint64_t> Skip;
-  std::optional<std::uint64_t> Last;
-  std::uint64_t Count = 0;
+  std::string Buffer; ///< Bytes from the start of the first incomplete event.
+  std::size_t Scanned = 0; ///< No event ends before this offset in Buffer.
+  std::optional<std::uint64_t>
+    Skip; ///< Events with ids up to this one are dropped.
+  std::optional<std::uint64_t>
+    Last;                  ///< Id of the last returned event that has one.
+  std::uint64_t Count = 0; ///< Events returned.
 };
--- a/Source/Daemon/gsGateway.cxx
+++ b/Source/Daemon/gsGateway.cxx
@@ -18,9 +18,9 @@
 constexpr gsTime PlatformRetryAfter = gsSeconds(5);
 constexpr gsTime ShortRetryAfter = gsSeconds(1);
 
-char const* const FieldMark = "|";
+char const* const FieldSeparator = "|";
 
-gsError Bad(std::string code, std::string message, std::string step)
+gsError MakeError(std::string code, std::string message, std::string step)
 {
   return gsError{ std::move(code), std::move(message), std::move(step), {} };
 }
@@ -43,12 +43,12 @@
   return gsStatusBadRequest;
 }
 
-gsRan RanOf(gsHeldRequest const& request)
+gsExecuted ExecutedState(gsOpenRequest const& request)
 {
-  return request.MayHaveRun ? gsRan::Unknown : gsRan::No;
+  return request.MayHaveRun ? gsExecuted::Unknown : gsExecuted::No;
 }
 
-std::string ClassLabels(gsHeldRequest const& request)
+std::string ClassLabels(gsOpenRequest const& request)
 {
   return gsLabels({ { "class", request.Class.Template } });
 }
@@ -56,14 +56,14 @@
 } // namespace
 
 void gsRespondError(gsHttpExchange& exchange, unsigned status,
-                    gsError const& error, gsRan ran, gsTime retryAfter,
+                    gsError const& error, gsExecuted ran, gsTime retryAfter,
                     std::string const& requestId)
 {
   Json body{ { "message", error.Message }, { "type", "gradescale_error" },
              { "code", error.Code },       { "step", error.Step },
-             { "peer", error.Peer },       { "ran", gsRanWord(ran) } };
+             { "peer", error.Peer },       { "ran", gsExecutedText(ran) } };
   gsHeaders headers{ { "Content-Type", "application/json" },
-                     { "Gradescale-Ran", gsRanWord(ran) } };
+                     { "Gradescale-Ran", gsExecutedText(ran) } };
   if (!requestId.empty()) {
     headers.emplace_back("Gradescale-Request", requestId);
     body["request"] = requestId;
@@ -84,35 +84,37 @@
   : Settings(settings)
   , Metrics(metrics)
   , Claims(claims)
-  , Call(std::move(hooks))
-  , Asker(settings, this->Call, hostNumber, this->Requests,
-          { [this](Held const& request) { this->OnGranted(request); },
-            [this](Held const& request, std::string const& cause,
-                   gsTime retryAfter) {
-              this->GiveUp(request, cause, retryAfter);
-            } })
-  , Caller(loop, client, settings, this->Call, this->Requests,
-           this->CallerEvents())
-  , Reader(hostNumber, settings.Callers.MaxBodyKib)
+  , Callbacks(std::move(hooks))
+  , Requester(settings, this->Callbacks, hostNumber, this->Requests,
+              { [this](Held const& request) { this->OnGranted(request); },
+                [this](Held const& request, std::string const& cause,
+                       gsTime retryAfter) {
+                  this->FinishUngranted(request, cause, retryAfter);
+                } })
+  , Executor(loop, client, settings, this->Callbacks, this->Requests,
+             this->ExecutorEvents())
+  , Parser(hostNumber, settings.Callers.MaxBodyKib)
 {
-  this->Budget.Share = settings.Retry.Share;
-  this->Budget.Most = settings.Retry.Burst;
-  this->Budget.Saved = settings.Retry.Burst;
+  this->RetryBudget.RetryShare = settings.Retry.Share;
+  this->RetryBudget.Burst = settings.Retry.Burst;
+  this->RetryBudget.Available = settings.Retry.Burst;
 }
 
-gsGrantCallerEvents gsGateway::CallerEvents()
+gsGrantExecutorEvents gsGateway::ExecutorEvents()
 {
-  gsGrantCallerEvents events;
-  events.OnWhole = [this](Held const& request) { this->FinishWhole(request); };
+  gsGrantExecutorEvents events;
+  events.OnComplete = [this](Held const& request) {
+    this->FinishSuccess(request);
+  };
   events.OnFailed = [this](Held const& request,
                            gsGrantFailure const& failure) {
-    this->AttemptFailed(request, failure);
+    this->OnAttemptFailed(request, failure);
   };
   events.OnTooLarge = [this](Held const& request, gsError const& error) {
     this->FinishError(request, gsStatusBadGateway, error, {});
   };
   events.OnSlowCaller = [this](Held const& request) {
-    this->CutSlowCaller(request);
+    this->DisconnectSlowCaller(request);
   };
   return events;
 }
@@ -120,41 +122,42 @@
 void gsGateway::OnGranted(Held const& request)
 {
   this->Metrics.Observe("gradescale_wait_seconds", ClassLabels(*request),
-                        request->GrantedAt - request->Arrived,
+                        request->GrantedAt - request->ArrivedAt,
                         request->GrantedAt);
-  this->Caller.Send(request);
+  this->Executor.Send(request);
 }
 
-void gsGateway::GiveUp(Held const& request, std::string const& cause,
-                       gsTime retryAfter)
+void gsGateway::FinishUngranted(Held const& request, std::string const& cause,
+                                gsTime retryAfter)
 {
-  this->FinishError(request, gsStatusUnavailable,
-                    Bad(cause == "no_upstream" ? "no_upstream" : "overloaded",
-                        "The request was given up: " + cause + ".", "queue"),
-                    retryAfter);
+  this->FinishError(
+    request, gsStatusUnavailable,
+    MakeError(cause == "no_upstream" ? "no_upstream" : "overloaded",
+              "The request was given up: " + cause + ".", "queue"),
+    retryAfter);
 }
 
 void gsGateway::OnExchange(std::shared_ptr<gsHttpExchange> const& exchange)
 {
-  bool get = exchange->Method == "GET";
-  if (exchange->Path == "/healthz" && get) {
+  bool isGet = exchange->Method == "GET";
+  if (exchange->Path == "/healthz" && isGet) {
     exchange->Respond(gsStatusOk, { { "Content-Type", "text/plain" } },
                       "ok\n");
     return;
   }
-  if (exchange->Path == "/readyz" && get) {
-    bool ready = this->Call.Ready() && !this->Draining;
+  if (exchange->Path == "/readyz" && isGet) {
+    bool ready = this->Callbacks.IsReady() && !this->Draining;
     exchange->Respond(ready ? gsStatusOk : gsStatusUnavailable,
                       { { "Content-Type", "text/plain" } },
                       ready ? "ready\n" : "not ready\n");
     return;
   }
-  if (exchange->Path == "/metrics" && get) {
+  if (exchange->Path == "/metrics" && isGet) {
     this->Metrics.Set("gradescale_open_requests", {},
                       static_cast<double>(this->Requests.size()));
     exchange->Respond(gsStatusOk,
                       { { "Content-Type", "text/plain; version=0.0.4" } },
-                      this->Metrics.Text());
+                      this->Metrics.ToPrometheusText());
     return;
   }
   this->Accept(exchange);
@@ -162,29 +165,30 @@
 
 void gsGateway::Accept(std::shared_ptr<gsHttpExchange> const& exchange)
 {
-  if (!this->Call.Ready()) {
+  if (!this->Callbacks.IsReady()) {
     gsRespondError(
       *exchange, gsStatusUnavailable,
-      Bad("not_ready", "This host has no configuration yet.", "accept"),
-      gsRan::No, ShortRetryAfter);
+      MakeError("not_ready", "This host has no configuration yet.", "accept"),
+      gsExecuted::No, ShortRetryAfter);
     return;
   }
   gsResult<gsOrganisation const*> organisation =
-    this->Reader.Authenticate(*exchange);
+    this->Parser.Authenticate(*exchange);
   if (!organisation) {
     gsLogLine("reject").With(organisation.error());
     gsRespondError(*exchange, StatusFor(organisation.error()),
-                   organisation.error(), gsRan::No);
+                   organisation.error(), gsExecuted::No);
     return;
   }
-  gsResult<Held> prepared = this->Reader.Read(exchange, *organisation.value());
+  gsResult<Held> prepared =
+    this->Parser.Parse(exchange, *organisation.value());
   if (!prepared) {
     gsLogLine("reject")
       .With("organisation", organisation.value()->Name)
       .With("caller", exchange->Peer)
       .With(prepared.error());
     gsRespondError(*exchange, StatusFor(prepared.error()), prepared.error(),
-                   gsRan::No);
+                   gsExecuted::No);
     return;
   }
   this->Begin(prepared.value());
@@ -197,239 +201,249 @@
   if (key.size() > MaxKeyLength) {
     gsRespondError(
       exchange, gsStatusBadRequest,
-      Bad("bad_request", "The Idempotency-Key is too long.", "parse"),
-      gsRan::No);
+      MakeError("bad_request", "The Idempotency-Key is too long.", "parse"),
+      gsExecuted::No);
     return;
   }
-  gsRetryEarn(this->Budget);
-  this->Requests[request->Ask.Id.Sequence] = request;
-  std::weak_ptr<gsHeldRequest> weak = request;
+  gsEarnRetry(this->RetryBudget);
+  this->Requests[request->GrantRequest.Id.Sequence] = request;
+  std::weak_ptr<gsOpenRequest> weak = request;
   exchange.OnGone = [this, weak] {
     if (Held held = weak.lock()) {
-      this->CallerLeft(held);
+      this->OnCallerDisconnected(held);
     }
   };
   if (!request->Class.Repeatable && !key.empty()) {
     this->Claim(request, key);
     return;
   }
-  this->Asker.AskIn(request, this->Settings.Hall);
+  this->Requester.RequestInHall(request, this->Settings.Hall);
 }
 
 void gsGateway::Claim(Held const& request, std::string_view key)
 {
-  request->At = gsHeldRequest::Step::Claiming;
-  request->ClaimKey = "claim/" + gsSha256(request->Ask.Organisation +
-                                          FieldMark + std::string(key));
-  request->ClaimValue = "claimed|" + this->Settings.Host + FieldMark +
-                        gsFormatId(request->Ask.Id) + FieldMark + gsRandomId();
+  request->CurrentState = gsOpenRequest::State::Claiming;
+  request->ClaimKey = "claim/" + gsSha256(request->GrantRequest.Organisation +
+                                          FieldSeparator + std::string(key));
+  request->ClaimValue = "claimed|" + this->Settings.Host + FieldSeparator +
+                        gsFormatRequestId(request->GrantRequest.Id) +
+                        FieldSeparator + gsRandomId();
   gsClaimAdd(this->Claims, request->ClaimKey, request->ClaimValue,
-             request->Ask.Id.Sequence);
+             request->GrantRequest.Id.Sequence);
 }
 
 void gsGateway::OnClaim(gsClaimDecision const& decision)
 {
-  char const* word = decision.Result == gsClaimResult::Won     ? "won"
-                     : decision.Result == gsClaimResult::Taken ? "taken"
-                                                               : "unavailable";
-  this->Metrics.Count("gradescale_claims_total",
-                      gsLabels({ { "result", word } }));
+  char const* resultName = decision.Result == gsClaimResult::Won ? "won"
+                           : decision.Result == gsClaimResult::Taken
+                             ? "taken"
+                             : "unavailable";
+  this->Metrics.Increment("gradescale_claims_total",
+                          gsLabels({ { "result", resultName } }));
   auto found = this->Requests.find(decision.Cookie);
   if (found == this->Requests.end()) {
-    return; // The caller left; the claim has been given back.
+    return; // The caller disconnected; the claim is released.
   }
   Held request = found->second;
   gsLogLine("claim")
-    .With("request", gsFormatId(request->Ask.Id))
-    .With("organisation", request->Ask.Organisation)
-    .With("result", word);
+    .With("request", gsFormatRequestId(request->GrantRequest.Id))
+    .With("organisation", request->GrantRequest.Organisation)
+    .With("result", resultName);
   if (decision.Result == gsClaimResult::Won) {
-    this->Asker.AskIn(request, this->Settings.Hall);
+    this->Requester.RequestInHall(request, this->Settings.Hall);
     return;
   }
   request->ClaimKey.clear();
   if (decision.Result == gsClaimResult::Unavailable) {
     this->FinishError(
       request, gsStatusUnavailable,
-      Bad("platform_unavailable",
-          "The key could not be claimed; the request was not run.", "claim"),
+      MakeError("platform_unavailable",
+                "The key could not be claimed; the request was not run.",
+                "claim"),
       PlatformRetryAfter);
     return;
   }
-  bool ran = decision.Holder.compare(0, 4, "ran|") == 0;
+  bool ran = decision.HolderValue.compare(0, 4, "ran|") == 0;
   gsError error =
-    Bad("duplicate_key",
-        ran ? "A request with this key has been run."
-            : "A request with this key is running or may have run.",
-        "claim");
+    MakeError("duplicate_key",
+              ran ? "A request with this key has been run."
+                  : "A request with this key is running or may have run.",
+              "claim");
   request->MayHaveRun = true;
   gsHttpExchange& exchange = *request->Exchange;
   gsRespondError(exchange, gsStatusConflict, error,
-                 ran ? gsRan::Yes : gsRan::Unknown, {},
-                 gsFormatId(request->Ask.Id));
-  this->Settle(request, gsRan::Unknown, "duplicate");
+                 ran ? gsExecuted::Yes : gsExecuted::Unknown, {},
+                 gsFormatRequestId(request->GrantRequest.Id));
+  this->Close(request, gsExecuted::Unknown, "duplicate");
 }
 
-/** A caller that does not read holds a slot of the upstream. */
-void gsGateway::CutSlowCaller(Held const& request)
+/** Disconnects a caller that does not read, because its request occupies a
+ * slot of the upstream. */
+void gsGateway::DisconnectSlowCaller(Held const& request)
 {
   std::shared_ptr<gsHttpExchange> exchange = request->Exchange;
-  this->CallerLeft(request);
+  this->OnCallerDisconnected(request);
   exchange->Abort();
 }
 
-void gsGateway::AttemptFailed(Held const& request,
-                              gsGrantFailure const& failure)
+void gsGateway::OnAttemptFailed(Held const& request,
+                                gsGrantFailure const& failure)
 {
-  gsRan ran = failure.Ran;
-  this->Caller.Release(request, failure.Outcome);
+  gsExecuted ran = failure.Executed;
+  this->Executor.Release(request, failure.Outcome);
   gsFailedAttempt attempt;
-  attempt.Ran = ran;
-  attempt.Repeatable = request->Class.Repeatable;
-  attempt.CallerHasBytes = request->CallerHasBytes;
-  attempt.Attempts = request->Sends + (ran == gsRan::No ? 1 : 0);
+  attempt.Executed = ran;
+  attempt.IsRepeatable = request->Class.Repeatable;
+  attempt.ResponseStarted = request->ResponseStarted;
+  attempt.Attempts = request->SentAttempts + (ran == gsExecuted::No ? 1 : 0);
   attempt.Now = gsLoop::Now();
-  attempt.Deadline = request->Arrived + request->Class.MaxWait;
-  bool again =
-    gsDecideAfterFailure(attempt, this->Budget) == gsAfterFailure::Retry;
+  attempt.Deadline = request->ArrivedAt + request->Class.MaxWait;
+  bool retry =
+    gsDecideRetry(attempt, this->RetryBudget) == gsRetryDecision::Retry;
   gsLogLine("attempt_failed", gsLogLevel::Warn)
-    .With("request", gsFormatId(request->Ask.Id))
+    .With("request", gsFormatRequestId(request->GrantRequest.Id))
     .With("upstream", request->Grant.Upstream)
-    .With("ran", gsRanWord(ran))
-    .With("retry", again)
+    .With("ran", gsExecutedText(ran))
+    .With("retry", retry)
     .With(failure.Error);
-  if (again) {
-    this->Metrics.Count("gradescale_retries_total",
-                        gsLabels({ { "may_have_run", gsRanWord(ran) } }));
-    request->Ask.Avoid = request->Grant.Upstream;
-    this->Asker.AskAgain(request);
+  if (retry) {
+    this->Metrics.Increment(
+      "gradescale_retries_total",
+      gsLabels({ { "may_have_run", gsExecutedText(ran) } }));
+    request->GrantRequest.AvoidUpstream = request->Grant.Upstream;
+    this->Requester.Resend(request);
     return;
   }
   this->FinishError(request, gsStatusBadGateway, failure.Error, {});
 }
 
-void gsGateway::CountWaste(gsHeldRequest const& request)
+void gsGateway::CountWastedTokens(gsOpenRequest const& request)
 {
-  this->Metrics.Count("gradescale_tokens_total",
-                      ClassLabels(request) + ",use=\"wasted\"",
-                      static_cast<double>(request.Scanner.Events()));
+  this->Metrics.Increment("gradescale_tokens_total",
+                          ClassLabels(request) + ",use=\"wasted\"",
+                          static_cast<double>(request.Scanner.EventCount()));
 }
 
-void gsGateway::FinishWhole(Held const& request)
+void gsGateway::FinishSuccess(Held const& request)
 {
   gsTime now = gsLoop::Now();
   gsHttpExchange& exchange = *request->Exchange;
   bool events = request->Stream && request->Status == gsStatusOk;
-  std::uint64_t tokens =
-    events ? request->Scanner.Events() : gsUsageTokens(request->Answer);
+  std::uint64_t tokens = events ? request->Scanner.EventCount()
+                                : gsGeneratedTokens(request->Answer);
   if (events) {
-    this->Caller.NoteProgress(request, true);
+    this->Executor.ReportProgress(request, true);
   } else if (tokens > 0) {
-    this->Call.SendProgress(request->Dispatcher, request->Ask, {},
-                            (now - request->SentAt) /
-                              static_cast<std::int64_t>(tokens));
+    this->Callbacks.SendProgress(
+      request->Dispatcher, request->GrantRequest, {},
+      (now - request->SentAt) / static_cast<std::int64_t>(tokens));
   }
-  this->Caller.Release(request, gsOutcome::Whole);
+  this->Executor.Release(request, gsGrantOutcome::Completed);
   if (events) {
     exchange.End();
   } else {
-    gsHeaders headers{ { "Gradescale-Ran", gsRanWord(gsRan::Yes) },
-                       { "Gradescale-Request", gsFormatId(request->Ask.Id) },
-                       { "Gradescale-Upstream", request->Grant.Upstream },
-                       { "Content-Type",
-                         std::string(
-                           gsHeaderOf(request->Headers, "content-type")) } };
+    gsHeaders headers{
+      { "Gradescale-Ran", gsExecutedText(gsExecuted::Yes) },
+      { "Gradescale-Request", gsFormatRequestId(request->GrantRequest.Id) },
+      { "Gradescale-Upstream", request->Grant.Upstream },
+      { "Content-Type",
+        std::string(gsFindHeader(request->Headers, "content-type")) }
+    };
     exchange.Respond(request->Status, headers, request->Answer);
   }
-  gsTime first = request->FirstTokenAt - request->Arrived;
-  gsClass const& target = request->Class;
-  bool inTarget = false;
+  gsTime first = request->FirstTokenAt - request->ArrivedAt;
+  gsRequestClass const& target = request->Class;
+  bool withinTarget = false;
   if (events) {
     gsTime gap{};
     if (tokens > 1) {
-      gap = (request->LastProgress - request->FirstTokenAt) /
+      gap = (request->LastProgressAt - request->FirstTokenAt) /
             static_cast<std::int64_t>(tokens - 1);
     }
-    inTarget = first <= target.FirstToken && gap <= target.TokenGap;
+    withinTarget =
+      first <= target.FirstTokenTarget && gap <= target.TokenIntervalTarget;
   } else {
-    // Single tokens are not seen: the targets bound the whole.
+    // The times of single tokens are unknown; the total time is compared with
+    // the sum of the targets.
     gsTime allowed =
-      target.FirstToken + target.TokenGap * static_cast<std::int64_t>(tokens);
-    inTarget = now - request->Arrived <= allowed;
+      target.FirstTokenTarget +
+      target.TokenIntervalTarget * static_cast<std::int64_t>(tokens);
+    withinTarget = now - request->ArrivedAt <= allowed;
   }
   std::string labels = ClassLabels(*request);
-  if (inTarget) {
-    this->Metrics.Count("gradescale_in_target_total", labels);
+  if (withinTarget) {
+    this->Metrics.Increment("gradescale_in_target_total", labels);
   }
   this->Metrics.Observe("gradescale_first_token_seconds", labels, first, now);
-  this->Metrics.Count("gradescale_tokens_total", labels + ",use=\"good\"",
-                      static_cast<double>(tokens));
-  this->Settle(request, gsRan::Yes, "whole");
+  this->Metrics.Increment("gradescale_tokens_total", labels + ",use=\"good\"",
+                          static_cast<double>(tokens));
+  this->Close(request, gsExecuted::Yes, "whole");
 }
 
 void gsGateway::FinishError(Held const& request, unsigned status,
                             gsError const& error, gsTime retryAfter)
 {
   gsHttpExchange& exchange = *request->Exchange;
-  gsRan ran = RanOf(*request);
-  if (request->CallerHasBytes) {
+  gsExecuted ran = ExecutedState(*request);
+  if (request->ResponseStarted) {
     Json body{ { "error",
                  { { "message", error.Message },
                    { "type", "gradescale_error" },
                    { "code", error.Code },
                    { "step", error.Step },
                    { "peer", error.Peer },
-                   { "ran", gsRanWord(ran) } } } };
+                   { "ran", gsExecutedText(ran) } } } };
     exchange.Write("event: error\ndata: " + body.dump() + "\n\n");
     exchange.Abort();
   } else {
     gsRespondError(exchange, status, error, ran, retryAfter,
-                   gsFormatId(request->Ask.Id));
+                   gsFormatRequestId(request->GrantRequest.Id));
   }
   gsLogLine("failed", gsLogLevel::Warn)
-    .With("request", gsFormatId(request->Ask.Id))
-    .With("organisation", request->Ask.Organisation)
-    .With("ran", gsRanWord(ran))
+    .With("request", gsFormatRequestId(request->GrantRequest.Id))
+    .With("organisation", request->GrantRequest.Organisation)
+    .With("ran", gsExecutedText(ran))
     .With(error);
-  this->CountWaste(*request);
-  this->Settle(request, ran, error.Code.c_str());
+  this->CountWastedTokens(*request);
+  this->Close(request, ran, error.Code.c_str());
 }
 
-void gsGateway::CallerLeft(Held const& request)
+void gsGateway::OnCallerDisconnected(Held const& request)
 {
-  if (request->At == gsHeldRequest::Step::Ended) {
+  if (request->CurrentState == gsOpenRequest::State::Ended) {
     return;
   }
-  if (this->Caller.Cancel(*request)) {
-    this->Caller.Release(request, gsOutcome::Left);
+  if (this->Executor.Cancel(*request)) {
+    this->Executor.Release(request, gsGrantOutcome::CallerDisconnected);
   } else {
-    this->Asker.TakeBack(request);
+    this->Requester.Withdraw(request);
   }
   gsLogLine("caller_left")
-    .With("request", gsFormatId(request->Ask.Id))
-    .With("organisation", request->Ask.Organisation);
-  this->CountWaste(*request);
-  this->Settle(request, RanOf(*request), "caller_left");
+    .With("request", gsFormatRequestId(request->GrantRequest.Id))
+    .With("organisation", request->GrantRequest.Organisation);
+  this->CountWastedTokens(*request);
+  this->Close(request, ExecutedState(*request), "caller_left");
 }
 
-/** Ends the request: gives its claim back or notes how it ended. */
-void gsGateway::Settle(Held const& request, gsRan ran, char const* result)
+/** Ends the request. Its claim is released if it was not executed, and marked
+ * as finished if it was. */
+void gsGateway::Close(Held const& request, gsExecuted ran, char const* result)
 {
-  this->Asker.StopWaiting(*request);
-  request->At = gsHeldRequest::Step::Ended;
+  this->Requester.StopWaiting(*request);
+  request->CurrentState = gsOpenRequest::State::Ended;
   request->Exchange->OnGone = nullptr;
   request->Exchange->OnDrained = nullptr;
-  this->Requests.erase(request->Ask.Id.Sequence);
-  this->Metrics.Count(
+  this->Requests.erase(request->GrantRequest.Id.Sequence);
+  this->Metrics.Increment(
     "gradescale_requests_total",
     gsLabels({ { "class", request->Class.Template }, { "result", result } }));
   if (request->ClaimKey.empty()) {
     return;
   }
-  if (ran == gsRan::No) {
+  if (ran == gsExecuted::No) {
     gsClaimRelease(this->Claims, request->ClaimKey, request->ClaimValue);
-  } else if (ran == gsRan::Yes) {
-    gsClaimFinish(this->Claims, request->ClaimKey, request->ClaimValue,
-                  "ran|" + request->ClaimValue);
+  } else if (ran == gsExecuted::Yes) {
+    gsClaimMarkFinished(this->Claims, request->ClaimKey, request->ClaimValue,
+                        "ran|" + request->ClaimValue);
   }
 }
--- a/Source/Daemon/gsGateway.h
+++ b/Source/Daemon/gsGateway.h
@@ -1,10 +1,11 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * The callers' side of a host. It holds each request from its arrival to its
- * final answer: authenticates it, claims its idempotency key, has it asked for
- * (gsPoolAsker) and carried out (gsGrantCaller), and answers. What was run,
- * and whether a request may be sent again, is decided here alone.
+ * Serves the callers of a host. The gateway owns each request from its arrival
+ * to its final answer: it authenticates the request, claims its idempotency
+ * key, obtains a grant for it (gsGrantRequester), executes the grant
+ * (gsGrantExecutor) and answers the caller. Only the gateway decides whether a
+ * request counts as executed and whether it may be retried.
  */
 #pragma once
 
@@ -15,13 +16,13 @@
 #include "gsClaims.h"
 #include "gsDocument.h"
 #include "gsGatewayHooks.h"
-#include "gsGrantCaller.h"
+#include "gsGrantExecutor.h"
+#include "gsGrantRequester.h"
 #include "gsHttpClient.h"
 #include "gsHttpServer.h"
 #include "gsMetrics.h"
 #include "gsPool.h"
-#include "gsPoolAsker.h"
-#include "gsRequestReader.h"
+#include "gsRequestParser.h"
 #include "gsRetry.h"
 #include "gsSettings.h"
 
@@ -36,53 +37,53 @@
 
   void OnExchange(std::shared_ptr<gsHttpExchange> const& exchange);
 
-  /** Rebuilds what is looked up by key. */
-  void TakeDocument(gsDocument const& document)
+  /** Rebuilds the reader's tables of keys and templates from the document. */
+  void ApplyDocument(gsDocument const& document)
   {
-    this->Reader.TakeDocument(document);
+    this->Parser.ApplyDocument(document);
   }
 
   void OnClaim(gsClaimDecision const& decision);
-  /** What dispatchers answer, and what becomes of hosts, goes there. */
-  gsPoolAsker& Waiting() { return this->Asker; }
+  /** Receives the answers of dispatchers and the changes of hosts. */
+  gsGrantRequester& GrantRequester() { return this->Requester; }
 
-  /** Takes no new requests. */
-  void Drain() { this->Draining = true; }
-  std::size_t Open() const { return this->Requests.size(); }
+  /** Stops accepting new requests. */
+  void StopAccepting() { this->Draining = true; }
+  std::size_t OpenRequestCount() const { return this->Requests.size(); }
 
 private:
-  using Held = gsHeldRequestPtr;
+  using Held = gsOpenRequestPtr;
 
   void Accept(std::shared_ptr<gsHttpExchange> const& exchange);
   void Begin(Held const& request);
   void Claim(Held const& request, std::string_view key);
-  gsGrantCallerEvents CallerEvents();
+  gsGrantExecutorEvents ExecutorEvents();
   void OnGranted(Held const& request);
-  void GiveUp(Held const& request, std::string const& cause,
-              gsTime retryAfter);
-  void CutSlowCaller(Held const& request);
-  void AttemptFailed(Held const& request, gsGrantFailure const& failure);
+  void FinishUngranted(Held const& request, std::string const& cause,
+                       gsTime retryAfter);
+  void DisconnectSlowCaller(Held const& request);
+  void OnAttemptFailed(Held const& request, gsGrantFailure const& failure);
 
-  void FinishWhole(Held const& request);
+  void FinishSuccess(Held const& request);
   void FinishError(Held const& request, unsigned status, gsError const& error,
                    gsTime retryAfter);
-  void CallerLeft(Held const& request);
-  void Settle(Held const& request, gsRan ran, char const* result);
-  void CountWaste(gsHeldRequest const& request);
+  void OnCallerDisconnected(Held const& request);
+  void Close(Held const& request, gsExecuted ran, char const* result);
+  void CountWastedTokens(gsOpenRequest const& request);
 
   gsSettings const& Settings;
   gsMetrics& Metrics;
   gsClaims& Claims;
-  Hooks Call;
-  gsHeldRequests Requests;
-  gsPoolAsker Asker;
-  gsGrantCaller Caller;
-  gsRequestReader Reader;
-  gsRetryBudget Budget;
+  Hooks Callbacks;
+  gsOpenRequests Requests;
+  gsGrantRequester Requester;
+  gsGrantExecutor Executor;
+  gsRequestParser Parser;
+  gsRetryBudget RetryBudget;
   bool Draining = false;
 };
 
-/** Answers with the usual JSON error. */
+/** Answers with a JSON error body. */
 void gsRespondError(gsHttpExchange& exchange, unsigned status,
-                    gsError const& error, gsRan ran, gsTime retryAfter = {},
-                    std::string const& requestId = {});
+                    gsError const& error, gsExecuted ran,
+                    gsTime retryAfter = {}, std::string const& requestId = {});
--- a/Source/Daemon/gsHallCluster.cxx
+++ b/Source/Daemon/gsHallCluster.cxx
@@ -9,19 +9,19 @@
 
 namespace {
 
-/** A link that nobody needed for so long is ended. */
-constexpr gsTime IdleLimit = gsSeconds(3);
-/** Every link that is in use carries a heartbeat a second. One that is silent
- * for longer than a process is expected to stand still has lost its other end
- * without a word, as when that lost power. */
-constexpr gsTime SilentLimit = gsSeconds(10);
-/** Sizes are logged at most so often: at a start they change all the time. */
+/** A link that heartbeats have not used for this time is closed. */
+constexpr gsTime IdleTimeout = gsSeconds(3);
+/** Every link in use carries a heartbeat each second. A link that is silent
+ * for longer than any expected process stall has lost its peer without a
+ * close, for example by a power failure. */
+constexpr gsTime SilenceTimeout = gsSeconds(10);
+/** Minimum interval between logged sizes, which change often at startup. */
 constexpr gsTime LogPeriod = gsSeconds(1);
-/** A host that found nobody for so long takes itself to be alone. */
-constexpr gsTime AlonePatience = gsSeconds(5);
-constexpr double Thousandths = 1000;
+/** A host that finds no other host in this time assumes that it is alone. */
+constexpr gsTime DiscoveryTimeout = gsSeconds(5);
+constexpr double MillicoresPerCore = 1000;
 
-std::string Joined(std::vector<std::string> const& names)
+std::string JoinNames(std::vector<std::string> const& names)
 {
   std::string text;
   for (std::string const& name : names) {
@@ -45,8 +45,8 @@
   self.Hall = settings.Hall;
   self.Address = settings.Peers.Announce;
   self.Incarnation = incarnation;
-  self.Millicores =
-    static_cast<std::uint32_t>(std::lround(settings.Cores * Thousandths));
+  self.Millicores = static_cast<std::uint32_t>(
+    std::lround(settings.Cores * MillicoresPerCore));
   gsHallStart(this->Table, std::move(self), settings.Peers.Seeds,
               gsLoop::Now());
 }
@@ -85,7 +85,7 @@
   return true;
 }
 
-void gsHallCluster::Leave()
+void gsHallCluster::AnnounceLeaving()
 {
   gsHallLeave(this->Table, gsLoop::Now());
   this->Tick();
@@ -94,10 +94,10 @@
 void gsHallCluster::OnStalled()
 {
   gsTime now = gsLoop::Now();
-  gsHallNoteStall(this->Table, now);
+  gsHallRecordStall(this->Table, now);
   for (auto& [number, link] : this->LinkTable) {
-    link.Heard = now;
-    link.Needed = now;
+    link.LastReceived = now;
+    link.LastUsed = now;
   }
 }
 
@@ -106,12 +106,12 @@
   return gsSystemSize(this->Table, gsLoop::Now());
 }
 
-bool gsHallCluster::KnowsSize() const
+bool gsHallCluster::IsSizeKnown() const
 {
   gsTime now = gsLoop::Now();
-  bool alone =
-    this->Table.Seeds.empty() || now - this->Table.Started > AlonePatience;
-  return this->Table.Joined || alone;
+  bool alone = this->Table.Seeds.empty() ||
+               now - this->Table.StartedAt > DiscoveryTimeout;
+  return this->Table.HasJoined || alone;
 }
 
 gradescale::Frame* gsHallCluster::OnLink(std::uint64_t link)
@@ -133,11 +133,12 @@
   std::uint64_t number = this->Peers->LinkTo(address);
   Link& link = this->LinkTable[number];
   link.Address = address;
-  link.Needed = gsLoop::Now();
-  link.Heard = link.Heard.count() == 0 ? link.Needed : link.Heard;
+  link.LastUsed = gsLoop::Now();
+  link.LastReceived =
+    link.LastReceived.count() == 0 ? link.LastUsed : link.LastReceived;
   if (link.Host.empty() && !host.empty()) {
     link.Host = host;
-    this->LinkOf[host] = number;
+    this->LinkByHost[host] = number;
   }
   return number;
 }
@@ -148,12 +149,12 @@
     return nullptr;
   }
   std::string name(host);
-  auto known = this->LinkOf.find(name);
-  if (known != this->LinkOf.end()) {
+  auto known = this->LinkByHost.find(name);
+  if (known != this->LinkByHost.end()) {
     return this->OnLink(known->second);
   }
   std::string address(gsHallAddress(this->Table, host));
-  if (address.empty() || !gsHallKeepsLink(this->Table, host, gsLoop::Now())) {
+  if (address.empty() || !gsHallNeedsLink(this->Table, host, gsLoop::Now())) {
     return nullptr;
   }
   return this->OnLink(this->Dial(address, name));
@@ -161,8 +162,8 @@
 
 void gsHallCluster::Send(gsHallMessage const& message)
 {
-  auto known = this->LinkOf.find(message.To);
-  std::uint64_t link = known != this->LinkOf.end()
+  auto known = this->LinkByHost.find(message.To);
+  std::uint64_t link = known != this->LinkByHost.end()
                          ? known->second
                          : this->Dial(message.Address, message.To);
   if (gradescale::Frame* frame = this->OnLink(link)) {
@@ -180,23 +181,23 @@
        gsHallTick(this->Table, now, this->Random)) {
     this->Send(message);
   }
-  this->CloseNeedless(now);
-  this->NoteChanges(now);
+  this->CloseUnusedLinks(now);
+  this->LogChanges(now);
 }
 
-/** Ends links to hosts that are silent, and those that this host dialled and
- * does not need any more. */
-void gsHallCluster::CloseNeedless(gsTime now)
+/** Closes links to silent hosts, and links that this host dialled and no
+ * longer uses. */
+void gsHallCluster::CloseUnusedLinks(gsTime now)
 {
   for (auto& [number, link] : this->LinkTable) {
-    bool silent = gsHallAvoids(this->Table, link.Host, now) ||
-                  now - link.Heard > SilentLimit;
+    bool silent = gsHallIsExcluded(this->Table, link.Host, now) ||
+                  now - link.LastReceived > SilenceTimeout;
     bool dialled = !link.Address.empty();
-    if (!dialled || gsHallKeepsLink(this->Table, link.Host, now)) {
-      link.Needed = now;
+    if (!dialled || gsHallNeedsLink(this->Table, link.Host, now)) {
+      link.LastUsed = now;
     }
-    bool needless = now - link.Needed > IdleLimit;
-    if ((silent || needless) && !link.Closing) {
+    bool unused = now - link.LastUsed > IdleTimeout;
+    if ((silent || unused) && !link.Closing) {
       link.Closing = true;
       this->Peers->Close(number);
     }
@@ -212,12 +213,12 @@
   }
   gsTime now = gsLoop::Now();
   link.Host = frame.host();
-  link.Needed = link.Needed.count() == 0 ? now : link.Needed;
-  link.Heard = now;
-  this->LinkOf[link.Host] = number;
-  gsHallNoteSign(this->Table, link.Host, now);
+  link.LastUsed = link.LastUsed.count() == 0 ? now : link.LastUsed;
+  link.LastReceived = now;
+  this->LinkByHost[link.Host] = number;
+  gsHallRecordActivity(this->Table, link.Host, now);
   for (gradescale::HallNews const& news : frame.hall_news()) {
-    gsHallHear(this->Table, frame.host(), gsFromWire(news), now);
+    gsHallReceive(this->Table, frame.host(), gsFromWire(news), now);
   }
   this->Events.OnFrame(frame.host(), number, frame);
 }
@@ -241,42 +242,42 @@
   }
   Link link = found->second;
   this->LinkTable.erase(found);
-  auto current = this->LinkOf.find(link.Host);
-  if (current == this->LinkOf.end() || current->second != number) {
+  auto current = this->LinkByHost.find(link.Host);
+  if (current == this->LinkByHost.end() || current->second != number) {
     return;
   }
   if (std::uint64_t other = this->OtherLinkTo(link.Host)) {
     current->second = other;
     return;
   }
-  this->LinkOf.erase(current);
+  this->LinkByHost.erase(current);
   if (link.Closing) {
     return;
   }
   gsTime now = gsLoop::Now();
-  bool matters = gsHallKeepsLink(this->Table, link.Host, now);
+  bool inUse = gsHallNeedsLink(this->Table, link.Host, now);
   gsHallLinkDown(this->Table, link.Host, now);
-  if (matters) {
+  if (inUse) {
     gsLogLine("link_down", gsLogLevel::Warn)
       .With("host", link.Host)
       .With("hall", gsHallOf(this->Table, link.Host));
   }
 }
 
-/** Logs who coordinates and how many hosts there are, when that changes. */
-void gsHallCluster::NoteChanges(gsTime now)
+/** Logs changes of the coordinators and of the system size. */
+void gsHallCluster::LogChanges(gsTime now)
 {
-  std::vector<std::string> coordinators = gsHallOrder(this->Table, now);
+  std::vector<std::string> coordinators = gsHallDutyOrder(this->Table, now);
   coordinators.resize(
-    std::min(coordinators.size(), this->Table.Settings.Coordinators));
+    std::min(coordinators.size(), this->Table.Settings.MaxCoordinators));
   std::size_t size = this->SystemSize();
-  bool changed = coordinators != this->Coordinators;
+  bool changed = coordinators != this->LoggedCoordinators;
   if (changed) {
     gsLogLine("coordinators")
       .With("hall", this->Table.Self.Hall)
-      .With("hosts", Joined(coordinators))
-      .With("before", Joined(this->Coordinators));
-    this->Coordinators = std::move(coordinators);
+      .With("hosts", JoinNames(coordinators))
+      .With("before", JoinNames(this->LoggedCoordinators));
+    this->LoggedCoordinators = std::move(coordinators);
   }
   bool resized = size != this->LoggedSize && now - this->LoggedAt >= LogPeriod;
   if (resized) {
--- a/Source/Daemon/gsHallCluster.h
+++ b/Source/Daemon/gsHallCluster.h
@@ -1,9 +1,9 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * This host among hundreds of others: carries the messages of
- * gsHallMembership over links, and ends links that heartbeats do not need any
- * more or that have fallen silent. The routed mode's hosts talk through it.
+ * Peer links of a host in routed mode, in systems of hundreds of hosts: sends
+ * and receives the messages of gsHallMembership, and closes links that
+ * heartbeats no longer use or on which nothing is received.
  */
 #pragma once
 
@@ -20,17 +20,18 @@
 #include "gsPeerNet.h"
 #include "gsSettings.h"
 
+/** Callbacks of gsHallCluster. */
 struct gsHallClusterEvents
 {
-  /** A frame came in; what concerns membership is dealt with already. */
+  /** A frame was received; its membership part has been processed. */
   std::function<void(std::string const& host, std::uint64_t link,
                      gradescale::Frame const& frame)>
     OnFrame;
-  /** How many hosts the system has, or who coordinates, has changed. */
+  /** The number of hosts or the list of coordinators has changed. */
   std::function<void()> OnChanged;
-  /** Version in force here, for the frames' headers. */
+  /** Returns the active configuration version, for frame headers. */
   std::function<std::uint64_t()> ConfigVersion;
-  /** Adds to the header of each frame. */
+  /** Adds fields to the header of each frame. */
   std::function<void(gradescale::Frame& frame)> FillHeader;
 };
 
@@ -43,57 +44,63 @@
   gsHallCluster(gsHallCluster const&) = delete;
   gsHallCluster& operator=(gsHallCluster const&) = delete;
 
-  /** Opens the peer port and begins to look for the others. */
+  /** Opens the peer port, so that Tick can contact other hosts. */
   gsResult<bool> Start();
 
-  /** Sends what is due; to be run some ten times a second. */
+  /** Sends due messages; to be called about ten times a second. */
   void Tick();
 
-  /** Says to the others that this host stops as planned. */
-  void Leave();
+  /** Announces a planned stop to the other hosts. */
+  void AnnounceLeaving();
 
-  /** What was not heard while the process stood still is nobody's silence. */
+  /** Restarts all silence timeouts after a stall of this process. */
   void OnStalled();
 
   gsHallMembership const& Members() const { return this->Table; }
   std::string const& Self() const { return this->Table.Self.Host; }
 
-  /** Hosts of the system, as far as is known. */
+  /** Number of known hosts in the system. */
   std::size_t SystemSize() const;
-  /** Whether a host of the hall has told how many there are; or none was found
-   * for so long that this one takes itself to be alone. */
-  bool KnowsSize() const;
+  /** Whether the system size is known: this host has joined, has no seeds, or
+   * found no other host within 5 s and assumes that it is alone. */
+  bool IsSizeKnown() const;
 
   /**
-   * Frame that is next to be sent to a host. It opens a link to hosts that
-   * heartbeats go to; nothing for others without a link.
+   * The next outgoing frame to a host. Opens a link if the host receives
+   * heartbeats; returns null for other hosts without a link.
    */
   gradescale::Frame* ToHost(std::string_view host);
-  /** Frame on the link on which a host asked. */
+  /** The next outgoing frame on a link; null if the link is down. */
   gradescale::Frame* OnLink(std::uint64_t link);
 
   gsPeerNet const* Net() const { return this->Peers.get(); }
-  std::size_t Links() const { return this->LinkTable.size(); }
+  /** Number of links, including those that are being closed. */
+  std::size_t LinkCount() const { return this->LinkTable.size(); }
   /** Number of links refused to hosts of other clusters. */
-  std::uint64_t RefusedPeers() const { return this->RefusedPeerCount; }
+  std::uint64_t RefusedLinkCount() const { return this->RefusedPeerCount; }
 
 private:
+  /** A link to another host, dialled or incoming. */
   struct Link
   {
-    std::string Host;    ///< Empty until it has said its name.
-    std::string Address; ///< That this host dialled; empty if it was dialled.
-    gsTime Needed{};     ///< When heartbeats last needed it.
-    gsTime Heard{};      ///< When it began, or a frame last came.
-    bool Closing = false;
+    /** Host at the other end; empty until it is known. */
+    std::string Host;
+    /** Address that this host dialled; empty for incoming links. */
+    std::string Address;
+    /** When heartbeats last used the link; incoming links always count as
+     * used. */
+    gsTime LastUsed{};
+    gsTime LastReceived{}; ///< When it was opened or last received a frame.
+    bool Closing = false;  ///< Its close was requested; frames are ignored.
   };
 
   void Send(gsHallMessage const& message);
-  void CloseNeedless(gsTime now);
+  void CloseUnusedLinks(gsTime now);
   void OnFrame(std::uint64_t link, gradescale::Frame const& frame);
   void OnDown(std::uint64_t link);
   std::uint64_t Dial(std::string const& address, std::string const& host);
   std::uint64_t OtherLinkTo(std::string const& host) const;
-  void NoteChanges(gsTime now);
+  void LogChanges(gsTime now);
 
   gsLoop& Loop; ///< Outlives this.
   gsSettings const& Settings;
@@ -102,11 +109,12 @@
   gsHallMembership Table;
   std::uint64_t RefusedPeerCount = 0; ///< Links refused to other clusters.
   std::unique_ptr<gsPeerNet> Peers;
-  std::map<std::uint64_t, Link> LinkTable;
-  std::unordered_map<std::string, std::uint64_t> LinkOf; ///< By host.
-  std::vector<std::string> Coordinators;                 ///< As last logged.
-  std::size_t LoggedSize = 0;
-  gsTime LoggedAt{};
+  std::map<std::uint64_t, Link> LinkTable; ///< By link number.
+  /** Number of the link that is used to send to each host. */
+  std::unordered_map<std::string, std::uint64_t> LinkByHost;
+  std::vector<std::string> LoggedCoordinators; ///< As last logged.
+  std::size_t LoggedSize = 0;                  ///< System size as last logged.
+  gsTime LoggedAt{};                           ///< When LoggedSize was logged.
 };
 
 /**
--- a/Source/Daemon/gsHallStatus.cxx
+++ b/Source/Daemon/gsHallStatus.cxx
@@ -6,7 +6,7 @@
 
 namespace {
 
-gsJson Millis(gsTime since, gsTime now)
+gsJson ElapsedMillis(gsTime since, gsTime now)
 {
   if (since.count() == 0) {
     return nullptr;
@@ -16,37 +16,40 @@
 
 gsJson OwnHall(gsHallMembership const& table, gsTime now)
 {
-  std::vector<std::string> first = gsHallOrder(table, now);
-  first.resize(std::min(first.size(), table.Settings.Coordinators));
-  gsTime heard{};
-  for (std::string const& host : first) {
-    auto peer = table.Hall.find(host);
-    heard =
-      peer == table.Hall.end() ? now : std::max(heard, peer->second.Heard);
+  std::vector<std::string> coordinators = gsHallDutyOrder(table, now);
+  coordinators.resize(
+    std::min(coordinators.size(), table.Settings.MaxCoordinators));
+  gsTime lastReceived{};
+  for (std::string const& host : coordinators) {
+    auto peer = table.HallPeers.find(host);
+    lastReceived = peer == table.HallPeers.end()
+                     ? now
+                     : std::max(lastReceived, peer->second.ReceivedAt);
   }
   return { { "hall", table.Self.Hall },
            { "hosts", gsHallSize(table, now) },
-           { "coordinators", first },
-           { "heard_ms", Millis(heard, now) },
+           { "coordinators", coordinators },
+           { "heard_ms", ElapsedMillis(lastReceived, now) },
            { "in_touch", true } };
 }
 
 gsJson OtherHall(std::string const& name, gsOtherHall const& hall,
                  gsHallMembershipSettings const& settings, gsTime now)
 {
-  std::vector<std::string> first;
+  std::vector<std::string> coordinators;
   for (gsHallPeer const& peer : hall.Contacts) {
-    if (first.size() < settings.Coordinators && peer.AvoidUntil <= now) {
-      first.push_back(peer.Host.Host);
+    if (coordinators.size() < settings.MaxCoordinators &&
+        peer.ExcludedUntil <= now) {
+      coordinators.push_back(peer.Host.Host);
     }
   }
-  bool inTouch =
-    hall.Heard.count() != 0 && now - hall.Heard <= settings.HallMemory;
+  bool reachable = hall.ReportedAt.count() != 0 &&
+                   now - hall.ReportedAt <= settings.HallTimeout;
   return { { "hall", name },
-           { "hosts", inTouch ? hall.Hosts : 0 },
-           { "coordinators", first },
-           { "heard_ms", Millis(hall.Heard, now) },
-           { "in_touch", inTouch } };
+           { "hosts", reachable ? hall.HostCount : 0 },
+           { "coordinators", coordinators },
+           { "heard_ms", ElapsedMillis(hall.ReportedAt, now) },
+           { "in_touch", reachable } };
 }
 
 } // namespace
@@ -56,18 +59,19 @@
 {
   gsJson rows = gsJson::array();
   rows.push_back(OwnHall(table, now));
-  for (auto const& [name, hall] : table.Others) {
+  for (auto const& [name, hall] : table.OtherHalls) {
     rows.push_back(OtherHall(name, hall, table.Settings, now));
   }
-  for (auto const& [name, since] : fleet.Evacuated) {
-    if (name != table.Self.Hall && table.Others.count(name) == 0) {
+  for (auto const& [name, since] : fleet.EvacuatedSince) {
+    if (name != table.Self.Hall && table.OtherHalls.count(name) == 0) {
       rows.push_back(OtherHall(name, {}, table.Settings, now));
     }
   }
   for (gsJson& row : rows) {
-    auto evacuated = fleet.Evacuated.find(row["hall"].get<std::string>());
-    bool is = evacuated != fleet.Evacuated.end();
-    row["evacuated_ms"] = is ? Millis(evacuated->second, now) : gsJson();
+    auto evacuated = fleet.EvacuatedSince.find(row["hall"].get<std::string>());
+    bool isEvacuated = evacuated != fleet.EvacuatedSince.end();
+    row["evacuated_ms"] =
+      isEvacuated ? ElapsedMillis(evacuated->second, now) : gsJson();
   }
   return rows;
 }
--- a/Source/Daemon/gsHallStatus.h
+++ b/Source/Daemon/gsHallStatus.h
@@ -1,21 +1,21 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * What one host knows of all halls, for operators: a row a hall, however many
- * hosts there are.
+ * Status of all halls as seen by one host, for operators. Its size depends on
+ * the number of halls, not of hosts.
  */
 #pragma once
 
-#include "gsFields.h"
+#include "gsFieldReader.h"
 #include "gsFleet.h"
 #include "gsHallMembership.h"
 
 /**
  * A list with an object for each hall, the own one first: hall, hosts,
- * coordinators, heard_ms since its coordinators last spoke (null for never),
- * in_touch, and evacuated_ms since this host knows that its upstreams are to
- * get nothing new (null where they may). Halls that have upstreams and no host
- * come last.
+ * coordinators, heard_ms since a message of its coordinators was last received
+ * (null for never), in_touch, and evacuated_ms since this host learned that
+ * the hall's upstreams get no new requests (null if they may). Halls that have
+ * upstreams and no host come last.
  */
 gsJson gsHallStatus(gsHallMembership const& table, gsFleet const& fleet,
                     gsTime now);
--- a/Source/Daemon/gsLeaseKeeper.cxx
+++ b/Source/Daemon/gsLeaseKeeper.cxx
@@ -13,16 +13,19 @@
 
 namespace {
 
-/** A store answers within some milliseconds, or slowly within some tenths; a
- * renewal that is not answered by then is made again. */
-constexpr gsTime CallPatience = gsMilliseconds(700);
-constexpr gsTime ConnectPatience = gsMilliseconds(300);
-/** What is sent at the end of the lease's time arrives a little later. */
+/** Timeout of a write, after which a renewal is repeated. The store usually
+ * answers within some milliseconds, and within some tenths of a second when it
+ * is slow. */
+constexpr gsTime CallTimeout = gsMilliseconds(700);
+constexpr gsTime ConnectTimeout = gsMilliseconds(300);
+/** Calls are sent only if the lease is still held after this time, as they
+ * take some time to arrive. */
 constexpr gsTime ActMargin = gsMilliseconds(150);
-/** Coordinators know one another by then after a start. */
-constexpr gsTime StartPatience = gsMilliseconds(2000);
-/** Long enough for two others to take the lease one after the other. */
-constexpr gsTime AbstainTime = gsSeconds(8);
+/** Delay after the start, by which coordinators have discovered each other. */
+constexpr gsTime StartupDelay = gsMilliseconds(2000);
+/** Long enough for two other hosts to acquire the lease one after the other.
+ */
+constexpr gsTime AbstainDuration = gsSeconds(8);
 
 std::string RowValue(gsLease const& lease)
 {
@@ -31,38 +34,41 @@
   }.dump();
 }
 
-/** A row that cannot be read is nobody's, and is taken over as any other. */
-gsLeaseRow ReadRow(gsTableRow const& row)
+/** Parses the lease's row. A malformed row has no holder, and is overwritten
+ * like any other. */
+gsLeaseRow ParseRow(gsTableRow const& row)
 {
-  gsLeaseRow read;
-  read.Version = row.Version;
+  gsLeaseRow parsed;
+  parsed.Version = row.Version;
   nlohmann::json value = nlohmann::json::parse(row.Value, nullptr, false);
-  bool good = value.is_object() && value.contains("holder") &&
-              value["holder"].is_string() && value.contains("incarnation") &&
-              value["incarnation"].is_number_unsigned();
-  if (good) {
-    read.Holder = value["holder"].get<std::string>();
-    read.Incarnation = value["incarnation"].get<std::uint64_t>();
+  bool isValid = value.is_object() && value.contains("holder") &&
+                 value["holder"].is_string() &&
+                 value.contains("incarnation") &&
+                 value["incarnation"].is_number_unsigned();
+  if (isValid) {
+    parsed.Holder = value["holder"].get<std::string>();
+    parsed.Incarnation = value["incarnation"].get<std::uint64_t>();
   }
-  return read;
+  return parsed;
 }
 
-gsLeaseReply ReplyOf(gsRowWritten const& written)
+gsLeaseReply ToLeaseReply(gsRowWriteResult const& result)
 {
   gsLeaseReply reply;
-  switch (written.Is) {
-    case gsRowWritten::Kind::Written:
-      reply.Is = gsLeaseReply::Kind::Written;
-      reply.Version = written.Version;
+  switch (result.Outcome) {
+    case gsRowWriteResult::Kind::Written:
+      reply.Result = gsLeaseReply::Kind::Written;
+      reply.Version = result.Version;
       break;
-    case gsRowWritten::Kind::Conflict:
-      reply.Is = gsLeaseReply::Kind::Conflict;
-      reply.Row = written.Row ? ReadRow(*written.Row) : gsLeaseRow{};
+    case gsRowWriteResult::Kind::Conflict:
+      reply.Result = gsLeaseReply::Kind::Conflict;
+      reply.Row =
+        result.CurrentRow ? ParseRow(*result.CurrentRow) : gsLeaseRow{};
       break;
-    case gsRowWritten::Kind::TurnedAway:
-      reply.Is = gsLeaseReply::Kind::Refused;
+    case gsRowWriteResult::Kind::Rejected:
+      reply.Result = gsLeaseReply::Kind::Refused;
       break;
-    case gsRowWritten::Kind::NoAnswer:
+    case gsRowWriteResult::Kind::NoAnswer:
       break;
   }
   return reply;
@@ -79,10 +85,11 @@
   std::sort(halls.begin(), halls.end());
   auto own =
     std::find(halls.begin(), halls.end(), gsHashText(members.Self.Hall));
-  std::vector<std::string> order = gsHallOrder(members, now);
+  std::vector<std::string> order = gsHallDutyOrder(members, now);
   auto self = std::find(order.begin(), order.end(), members.Self.Host);
-  auto place = static_cast<std::size_t>(self - order.begin());
-  return place * halls.size() + static_cast<std::size_t>(own - halls.begin());
+  auto position = static_cast<std::size_t>(self - order.begin());
+  return position * halls.size() +
+         static_cast<std::size_t>(own - halls.begin());
 }
 
 gsLeaseKeeper::gsLeaseKeeper(gsHttpClient& client, gsAdapter const& adapter,
@@ -94,27 +101,27 @@
 {
   this->Lease.Self = settings.Host;
   this->Lease.Incarnation = incarnation;
-  this->Lease.Settings.Time = settings.Duties.Lease;
-  this->Lease.Started = gsLoop::Now() + StartPatience;
+  this->Lease.Settings.Duration = settings.Duties.Lease;
+  this->Lease.StartedAt = gsLoop::Now() + StartupDelay;
 }
 
 gsLeaseKeeper::~gsLeaseKeeper()
 {
-  if (this->Call != 0) {
-    this->Client.Cancel(this->Call);
+  if (this->PendingCall != 0) {
+    this->Client.Cancel(this->PendingCall);
   }
 }
 
 void gsLeaseKeeper::Tick(gsHallMembership const& members, bool stopping,
                          gsTime now)
 {
-  bool contends = !stopping && gsHallCoordinates(members, now);
+  bool isCandidate = !stopping && gsHallIsCoordinator(members, now);
   std::optional<gsLeaseWrite> due =
-    gsLeaseTick(this->Lease, contends, gsDutyRank(members, now), now);
+    gsLeaseTick(this->Lease, isCandidate, gsDutyRank(members, now), now);
   if (due) {
     this->Write(*due);
   }
-  this->NoteHolder(now);
+  this->LogHolderChange(now);
 }
 
 void gsLeaseKeeper::Write(gsLeaseWrite const& due)
@@ -122,48 +129,51 @@
   gsRowWrite write;
   write.Table = this->Adapter.Tables.Lease;
   write.Key = this->Adapter.Tables.LeaseKey;
-  write.Expected = due.Expected;
+  write.ExpectedVersion = due.ExpectedVersion;
   write.Value = RowValue(this->Lease);
-  gsCall call = this->Adapter.WriteRow(this->Settings.Platform.Address, write);
-  call.ConnectTimeout = ConnectPatience;
-  call.TotalTimeout = CallPatience;
+  gsCall call =
+    this->Adapter.MakeWriteCall(this->Settings.Platform.Address, write);
+  call.ConnectTimeout = ConnectTimeout;
+  call.TotalTimeout = CallTimeout;
   call.Reuse = true;
-  ++this->Made;
-  this->Call = gsFetch(this->Client, std::move(call),
-                       [this, write](gsAnswer const& answer) {
-                         this->Call = 0;
-                         this->OnWritten(answer, write);
-                       });
+  ++this->CallsMade;
+  this->PendingCall = gsFetch(this->Client, std::move(call),
+                              [this, write](gsAnswer const& answer) {
+                                this->PendingCall = 0;
+                                this->OnWriteCompleted(answer, write);
+                              });
 }
 
-void gsLeaseKeeper::OnWritten(gsAnswer const& answer, gsRowWrite const& write)
+void gsLeaseKeeper::OnWriteCompleted(gsAnswer const& answer,
+                                     gsRowWrite const& write)
 {
   gsTime now = gsLoop::Now();
-  gsRowWritten written = this->Adapter.ReadWritten(answer, write);
-  bool known = written.Is == gsRowWritten::Kind::Written;
-  gsLeaseAnswer(this->Lease, ReplyOf(written), now);
-  if (!known) {
+  gsRowWriteResult result = this->Adapter.ParseWriteResponse(answer, write);
+  bool acknowledged = result.Outcome == gsRowWriteResult::Kind::Written;
+  gsLeaseReceiveReply(this->Lease, ToLeaseReply(result), now);
+  if (!acknowledged) {
     gsLogLine("lease_write", gsLogLevel::Warn)
-      .With("expected", write.Expected)
-      .With("outcome", written.Is == gsRowWritten::Kind::Conflict ? "conflict"
-                       : written.Is == gsRowWritten::Kind::TurnedAway
+      .With("expected", write.ExpectedVersion)
+      .With("outcome", result.Outcome == gsRowWriteResult::Kind::Conflict
+                         ? "conflict"
+                       : result.Outcome == gsRowWriteResult::Kind::Rejected
                          ? "turned_away"
                          : "no_answer")
       .With("row_version", this->Lease.Row.Version)
       .With("holder", this->Lease.Row.Holder)
-      .With("message", written.Detail);
+      .With("message", result.Detail);
   }
-  this->NoteHolder(now);
+  this->LogHolderChange(now);
 }
 
-/** Logs when this host begins to hold the lease, and when it ends to. */
-void gsLeaseKeeper::NoteHolder(gsTime now)
+/** Logs when this host acquires the lease, and when it no longer holds it. */
+void gsLeaseKeeper::LogHolderChange(gsTime now)
 {
-  bool holds = gsLeaseHolds(this->Lease, now);
-  if (holds == this->Held) {
+  bool holds = gsLeaseIsHeld(this->Lease, now);
+  if (holds == this->LoggedAsHeld) {
     return;
   }
-  this->Held = holds;
+  this->LoggedAsHeld = holds;
   gsLogLine(holds ? "lease_held" : "lease_ended")
     .With("token", this->Lease.Token)
     .With("row_version", this->Lease.Row.Version)
@@ -171,50 +181,51 @@
     .With("seen_ms", now - this->Lease.SeenAt);
 }
 
-void gsLeaseKeeper::Hear(gradescale::LeaseNews const& wire, gsTime now)
+void gsLeaseKeeper::ReceiveUpdate(gradescale::LeaseNews const& wire,
+                                  gsTime now)
 {
-  gsLeaseNews news;
-  news.Row = { wire.version(), wire.holder(), wire.incarnation() };
-  news.Age = gsMilliseconds(wire.age_ms());
-  gsLeaseHear(this->Lease, news, now);
+  gsLeaseUpdate update;
+  update.Row = { wire.version(), wire.holder(), wire.incarnation() };
+  update.Age = gsMilliseconds(wire.age_ms());
+  gsLeaseReceiveUpdate(this->Lease, update, now);
 }
 
-void gsLeaseKeeper::Fill(gradescale::Frame& frame, gsTime now) const
+void gsLeaseKeeper::FillUpdate(gradescale::Frame& frame, gsTime now) const
 {
-  std::optional<gsLeaseNews> news = gsLeaseTell(this->Lease, now);
-  if (!news) {
+  std::optional<gsLeaseUpdate> update = gsLeaseCurrentUpdate(this->Lease, now);
+  if (!update) {
     return;
   }
   gradescale::LeaseNews* wire = frame.mutable_lease();
-  wire->set_version(news->Row.Version);
-  wire->set_holder(news->Row.Holder);
-  wire->set_incarnation(news->Row.Incarnation);
-  auto age = std::chrono::duration_cast<gsMilliseconds>(news->Age);
+  wire->set_version(update->Row.Version);
+  wire->set_holder(update->Row.Holder);
+  wire->set_incarnation(update->Row.Incarnation);
+  auto age = std::chrono::duration_cast<gsMilliseconds>(update->Age);
   wire->set_age_ms(static_cast<std::uint32_t>(age.count()));
 }
 
-bool gsLeaseKeeper::MayAct(gsTime now) const
+bool gsLeaseKeeper::MaySendDutyCall(gsTime now) const
 {
-  return gsLeaseHolds(this->Lease, now + ActMargin);
+  return gsLeaseIsHeld(this->Lease, now + ActMargin);
 }
 
-gsDutyProof gsLeaseKeeper::Proof() const
+gsLeaseProof gsLeaseKeeper::Proof() const
 {
   return { this->Lease.Self, this->Lease.Token };
 }
 
-void gsLeaseKeeper::Lose(char const* duty, gsTime now)
+void gsLeaseKeeper::Revoke(char const* duty, gsTime now)
 {
   gsLogLine("duty_refused", gsLogLevel::Warn)
     .With("duty", duty)
     .With("token", this->Lease.Token);
-  gsLeaseLose(this->Lease, now);
-  this->NoteHolder(now);
+  gsLeaseRevoke(this->Lease, now);
+  this->LogHolderChange(now);
 }
 
 void gsLeaseKeeper::Abstain(gsTime now)
 {
   gsLogLine("lease_left", gsLogLevel::Warn).With("token", this->Lease.Token);
-  gsLeaseAbstain(this->Lease, AbstainTime, now);
-  this->NoteHolder(now);
+  gsLeaseAbstain(this->Lease, AbstainDuration, now);
+  this->LogHolderChange(now);
 }
--- a/Source/Daemon/gsLoadSharing.cxx
+++ b/Source/Daemon/gsLoadSharing.cxx
@@ -13,36 +13,44 @@
 namespace {
 
 constexpr double MicrosPerMilli = 1000;
-/** A relay hears a hundred reports a second and sums up all of its hall's each
- * time; it does so no more often than this. */
-constexpr gsTime ApplyGap = gsMilliseconds(100);
-
-/** Names a service or a hall between hosts. */
+/**
+ * Minimum interval between applying reports as they arrive. A relay receives a
+ * hundred reports per second, and applying them sums up those of its whole
+ * hall.
+ */
+constexpr gsTime MinApplyInterval = gsMilliseconds(100);
+
+/** Hash by which hosts identify a service or a hall in reports. */
 std::uint32_t NameHash(std::string const& name)
 {
   return static_cast<std::uint32_t>(gsHashText(name));
 }
 
-/** Rounded, so that small changes are no news to other hosts. */
-std::uint32_t CoarseTokens(double tokens)
+/** Rounds a demand, so that small changes do not cause reports. */
+std::uint32_t RoundTokens(double tokens)
 {
   constexpr double step = 5000;
   return static_cast<std::uint32_t>(std::round(tokens / step) * step);
 }
 
-std::uint32_t CoarsePace(double millis)
+/** Rounds an interval and converts it to microseconds. */
+std::uint32_t RoundIntervalMicros(double millis)
 {
   constexpr double step = 0.5;
   return static_cast<std::uint32_t>(std::round(millis / step) * step *
                                     MicrosPerMilli);
 }
 
-/** The pace that others need to hear of; zero if they know a lower one. */
-std::uint32_t TellPace(gsFleetRow const& row)
+/**
+ * Interval between events to be reported, in microseconds; zero if another
+ * host has reported one that is not longer.
+ */
+std::uint32_t IntervalToReport(gsFleetRow const& row)
 {
-  double pace = gsPaceOf(row);
-  bool lowest = row.OthersPace <= 0 || pace < row.OthersPace;
-  return lowest ? CoarsePace(pace) : 0;
+  double millis = gsEventIntervalMillis(row);
+  bool isLowest = row.OthersEventIntervalMillis <= 0 ||
+                  millis < row.OthersEventIntervalMillis;
+  return isLowest ? RoundIntervalMicros(millis) : 0;
 }
 
 void LogArrangement(std::string const& service,
@@ -53,7 +61,7 @@
     .With("cause", cause)
     .With("version", arrangement.Version)
     .With("long_engines", arrangement.LongEngines)
-    .With("slow_engines", std::uint64_t(arrangement.Slow.size()));
+    .With("slow_engines", std::uint64_t(arrangement.SlowEngines.size()));
 }
 
 } // namespace
@@ -66,38 +74,42 @@
   this->Exchange.Hall = settings.Hall;
 }
 
-/** What this host adds to the system's load. */
-gsSystemLoad gsLoadSharing::Own(gsTime now)
+/** This host's part of the system's load. */
+gsSystemLoad gsLoadSharing::OwnLoad(gsTime now)
 {
   gsSystemLoad own;
-  gsForEachWorking(this->Fleet, now, [&own, now](gsFleetRow const& row) {
-    std::uint32_t pace = TellPace(row);
-    gsOpenWork work = gsOwnWork(row, now);
-    if (work.Running > 0 || pace > 0) {
+  gsForEachReportable(this->Fleet, now, [&own, now](gsFleetRow const& row) {
+    std::uint32_t intervalMicros = IntervalToReport(row);
+    gsOutstandingLoad work = gsOwnLoad(row, now);
+    if (work.OpenAttempts > 0 || intervalMicros > 0) {
       own.Upstreams[row.Hash] = {
-        work.Running, static_cast<std::uint32_t>(work.ReadTokens),
-        static_cast<std::uint32_t>(work.MemoryTokens), pace
+        work.OpenAttempts,
+        static_cast<std::uint32_t>(work.PendingPromptTokens),
+        static_cast<std::uint32_t>(work.MemoryTokens), intervalMicros
       };
     }
   });
   for (auto const& [service, demand] : this->Fleet.Demand) {
-    own.Services[NameHash(service)] = { CoarseTokens(demand.Long),
-                                        CoarseTokens(demand.Tight) };
+    own.Services[NameHash(service)] = { RoundTokens(demand.LongTokens),
+                                        RoundTokens(demand.TightTokens) };
   }
   for (auto const& [service, arrangement] : this->Fleet.Arrangements) {
     if (arrangement.Version > 0) {
       own.Arrangements[NameHash(service)] = arrangement;
     }
   }
-  for (auto const& [hall, reach] : this->Fleet.Halls) {
-    if (reach.Unreachable) {
-      own.CutOffHalls.insert(NameHash(hall));
+  for (auto const& [hall, reach] : this->Fleet.HallReachability) {
+    if (reach.IsUnreachable) {
+      own.UnreachableHalls.insert(NameHash(hall));
     }
   }
   return own;
 }
 
-/** Whom this host reports to: as the relay of its hall to many. */
+/**
+ * Hosts that may receive reports; the lists are filled in only if this host is
+ * the relay of its hall.
+ */
 gsLoadPeers gsLoadSharing::Peers(gsTime now) const
 {
   gsHallMembership const& table = this->Cluster->Members();
@@ -105,7 +117,7 @@
   peers.Relay = gsHallRelay(table, now);
   peers.HallSize = gsHallSize(table, now);
   if (peers.Relay == this->Settings.Host) {
-    peers.Hall = gsHallPeers(table, now);
+    peers.HallHosts = gsHallPeers(table, now);
     for (auto const& [hall, relay] : gsOtherRelays(table, now)) {
       peers.OtherRelays.push_back(relay);
     }
@@ -113,32 +125,31 @@
   return peers;
 }
 
-/** Reports the load, as far as it has changed. */
-void gsLoadSharing::Tell()
+void gsLoadSharing::SendReports()
 {
   gsTime now = gsLoop::Now();
   gsRefreshHalls(this->Fleet, now);
-  gsForgetPaces(this->Fleet, now);
+  gsExpireEventIntervals(this->Fleet, now);
   for (gsLoadMessage const& message :
-       gsLoadTick(this->Exchange, this->Peers(now), this->Own(now), now)) {
+       gsLoadTick(this->Exchange, this->Peers(now), this->OwnLoad(now), now)) {
     if (gradescale::Frame* frame = this->Cluster->ToHost(message.To)) {
       gsToWire(message.Report, frame->add_load_reports());
     }
   }
-  this->Apply(now);
-  if (gsHallDecides(this->Cluster->Members(), now)) {
-    this->Decide(now);
+  this->ApplyReceived(now);
+  if (gsIsSystemLeader(this->Cluster->Members(), now)) {
+    this->DecideArrangements(now);
   }
 }
 
-gsTime gsLoadSharing::Gap() const
+gsTime gsLoadSharing::MinReportInterval() const
 {
   std::size_t hosts = gsHallSize(this->Cluster->Members(), gsLoop::Now());
-  return gsLoadGap(this->Exchange.Settings, hosts);
+  return gsLoadSendInterval(this->Exchange.Settings, hosts);
 }
 
-void gsLoadSharing::Hear(std::string const& host,
-                         gradescale::Frame const& frame)
+void gsLoadSharing::OnReceive(std::string const& host,
+                              gradescale::Frame const& frame)
 {
   std::string hall(gsHallOf(this->Cluster->Members(), host));
   if (hall.empty() || frame.load_reports().empty()) {
@@ -146,61 +157,68 @@
   }
   gsTime now = gsLoop::Now();
   for (gradescale::LoadReport const& wire : frame.load_reports()) {
-    gsLoadHear(this->Exchange, host, hall, gsFromWire(wire), now);
+    gsApplyLoadReport(this->Exchange, host, hall, gsFromWire(wire), now);
   }
-  if (now - this->AppliedAt >= ApplyGap) {
-    this->Apply(now);
+  if (now - this->AppliedAt >= MinApplyInterval) {
+    this->ApplyReceived(now);
   }
 }
 
-/** Takes in which halls other hosts of this hall cannot reach. */
-void gsLoadSharing::ApplyHalls(std::set<std::uint32_t> const& cutOff)
+/** Applies the halls that other hosts of this hall report as unreachable. */
+void gsLoadSharing::ApplyUnreachableHalls(
+  std::set<std::uint32_t> const& unreachableHalls)
 {
-  std::set<std::string, std::less<>> told;
-  for (auto const& [hall, rows] : this->Fleet.HallRows) {
+  std::set<std::string, std::less<>> unreachable;
+  for (auto const& [hall, rows] : this->Fleet.RowsPerHall) {
     bool isOwn = hall == this->Settings.Hall;
-    if (!isOwn && cutOff.count(NameHash(hall)) != 0) {
-      told.insert(hall);
+    if (!isOwn && unreachableHalls.count(NameHash(hall)) != 0) {
+      unreachable.insert(hall);
     }
   }
-  gsHallNoteTold(this->Fleet.Halls, told);
+  gsHallSetReportedUnreachable(this->Fleet.HallReachability, unreachable);
 }
 
-/** Notes others' work in the rows that have some, and takes it back from
- * those that have none any more. */
-void gsLoadSharing::ApplyUpstreams(gsLoadMap const& others, gsTime since)
+/**
+ * Stores the load of other hosts in the rows that have any, and resets the
+ * rows that have none any more.
+ */
+void gsLoadSharing::ApplyUpstreams(gsLoadMap const& others, gsTime reportedAt)
 {
-  for (std::uint32_t hash : this->Noted) {
+  for (std::uint32_t hash : this->RowsWithOthersLoad) {
     auto row = this->Fleet.ByHash.find(hash);
     if (row != this->Fleet.ByHash.end() && others.count(hash) == 0) {
-      this->Fleet.Rows[row->second].Others = {};
-      this->Fleet.Rows[row->second].OthersPace = 0;
+      this->Fleet.Rows[row->second].OthersLoad = {};
+      this->Fleet.Rows[row->second].OthersEventIntervalMillis = 0;
     }
   }
-  this->Noted.clear();
+  this->RowsWithOthersLoad.clear();
   for (auto const& [hash, load] : others) {
     auto found = this->Fleet.ByHash.find(hash);
     if (found == this->Fleet.ByHash.end()) {
       continue;
     }
     gsFleetRow& row = this->Fleet.Rows[found->second];
-    row.Others = { load.Running, load.ReadTokens, load.MemoryTokens };
-    row.OthersAt = since;
-    row.OthersPace = load.PaceMicros / MicrosPerMilli;
-    this->Noted.push_back(hash);
+    row.OthersLoad = { load.Running, load.PendingPromptTokens,
+                       load.MemoryTokens };
+    row.OthersReportedAt = reportedAt;
+    row.OthersEventIntervalMillis =
+      load.MinEventIntervalMicros / MicrosPerMilli;
+    this->RowsWithOthersLoad.push_back(hash);
   }
 }
 
-void gsLoadSharing::Apply(gsTime now)
+/** Applies the received reports that are still valid. */
+void gsLoadSharing::ApplyReceived(gsTime now)
 {
   this->AppliedAt = now;
   gsSystemLoad others = gsLoadOfOthers(this->Exchange, now);
-  gsTime since = gsLoadSince(this->Exchange, now).value_or(gsTime{});
-  this->ApplyHalls(others.CutOffHalls);
-  this->ApplyUpstreams(others.Upstreams, since);
+  gsTime reportedAt =
+    gsOldestHostReportAt(this->Exchange, now).value_or(gsTime{});
+  this->ApplyUnreachableHalls(others.UnreachableHalls);
+  this->ApplyUpstreams(others.Upstreams, reportedAt);
   for (auto const& [service, rows] : this->Fleet.ByService) {
-    gsNoteOthersDemand(this->Fleet, service,
-                       others.Services[NameHash(service)], now);
+    gsSetOthersDemand(this->Fleet, service, others.Services[NameHash(service)],
+                      now);
     auto decided = others.Arrangements.find(NameHash(service));
     if (decided != others.Arrangements.end() &&
         gsAdoptArrangement(this->Fleet, service, decided->second)) {
@@ -209,8 +227,8 @@
   }
 }
 
-/** Decides for all hosts, and logs what has changed. */
-void gsLoadSharing::Decide(gsTime now)
+/** Decides for all hosts how engines are divided, and logs changes. */
+void gsLoadSharing::DecideArrangements(gsTime now)
 {
   auto before = this->Fleet.Arrangements;
   gsDecideArrangements(this->Fleet, now);
--- a/Source/Daemon/gsLoadSharing.h
+++ b/Source/Daemon/gsLoadSharing.h
@@ -1,9 +1,12 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * Tells other hosts of this host's open work, demand and measured paces, and
- * puts theirs into the upstreams' rows. One host decides for all how engines
- * are divided.
+ * Sends reports of this host's open work, demand and measured intervals
+ * between events to other hosts, and stores the reported load of other hosts
+ * in the rows of the upstreams. The hosts that exchange reports, and their
+ * frequency, are determined by gsLoadExchange. The system leader decides for
+ * all hosts how the engines of each service are divided; its decisions are
+ * part of the reports.
  */
 #pragma once
 
@@ -20,33 +23,39 @@
 class gsLoadSharing
 {
 public:
-  /** The fleet and the settings outlive this. */
+  /** The fleet and the settings must outlive this object. */
   gsLoadSharing(gsFleet& fleet, gsSettings const& settings);
 
-  /** The cluster outlives this. */
+  /** The cluster must outlive this object. */
   void Start(gsHallCluster& cluster) { this->Cluster = &cluster; }
 
-  /** Takes in the reports of a frame of another host. */
-  void Hear(std::string const& host, gradescale::Frame const& frame);
-  /** Reports the load, as far as it has changed; run many times a second. */
-  void Tell();
-  /** Least time between two reports to one host. */
-  gsTime Gap() const;
+  /** Processes the load reports in a frame from another host. */
+  void OnReceive(std::string const& host, gradescale::Frame const& frame);
+  /**
+   * Sends the reports that are due, and applies received ones; to be called
+   * many times per second.
+   */
+  void SendReports();
+  /** Minimum interval between two reports to the same host. */
+  gsTime MinReportInterval() const;
 
 private:
-  gsSystemLoad Own(gsTime now);
+  gsSystemLoad OwnLoad(gsTime now);
   gsLoadPeers Peers(gsTime now) const;
-  void Apply(gsTime now);
-  void ApplyUpstreams(gsLoadMap const& others, gsTime since);
-  void ApplyHalls(std::set<std::uint32_t> const& cutOff);
-  void Decide(gsTime now);
+  void ApplyReceived(gsTime now);
+  void ApplyUpstreams(gsLoadMap const& others, gsTime reportedAt);
+  void ApplyUnreachableHalls(std::set<std::uint32_t> const& unreachableHalls);
+  void DecideArrangements(gsTime now);
 
   gsFleet& Fleet;
   gsSettings const& Settings;
   gsHallCluster* Cluster = nullptr; ///< Set by Start.
   gsLoadExchange Exchange;
-  /** Hashes of the rows that others' work is noted in, ascending: what a
-   * report costs goes by these, not by all upstreams. */
-  std::vector<std::uint32_t> Noted;
+  /**
+   * Hashes of the rows that contain load of other hosts, ascending. They bound
+   * the cost of applying reports, which does not depend on the number of
+   * upstreams.
+   */
+  std::vector<std::uint32_t> RowsWithOthersLoad;
   gsTime AppliedAt{};
 };
