--- a/Source/Daemon/gsRoutedRequest.h
+++ b/Source/Daemon/gsRoutedRequest.h
@@ -2,8 +2,8 @@
 /**
  * \file
  * A request of the routed mode, from its arrival to its final answer, and its
- * attempts at upstreams: one, or a primary that has fallen silent and its
- * hedge.
+ * attempts at upstreams. There is either one open attempt, or two: a primary,
+ * whose upstream has stopped sending, and its hedge at another upstream.
  */
 #pragma once
 
@@ -15,65 +15,94 @@
 
 #include "gsAdapter.h"
 #include "gsEventSplitter.h"
+#include "gsExpectedWait.h"
 #include "gsFingerprint.h"
 #include "gsHttpServer.h"
 #include "gsRouteTable.h"
-#include "gsSilence.h"
 
-/** How an attempt ended. */
-enum class gsAttemptEnd
+/** Outcome of an attempt. */
+enum class gsAttemptOutcome
 {
-  Whole,       ///< A whole answer to this very request.
-  NotExecuted, ///< The upstream says that it did not run it.
-  NotSent,     ///< Not a byte of the request left.
-  Broken,      ///< It may have run; there is no whole answer.
+  Complete,    ///< A complete answer to this request.
+  NotExecuted, ///< The upstream reports that it did not run the request.
+  NotSent,     ///< No byte of the request was sent.
+  Incomplete,  ///< The request may have run, but there is no complete answer.
 };
 
-char const* gsAttemptEndWord(gsAttemptEnd end);
+char const* gsAttemptOutcomeName(gsAttemptOutcome end);
 
 struct gsAttemptResult
 {
-  gsAttemptEnd End = gsAttemptEnd::Broken;
-  unsigned Status = 0; ///< Zero when there was none.
-  std::string Detail;  ///< One sentence when it is not whole.
-  bool Silent = false; ///< Given up because nothing came for too long.
-  /** Its connection broke, or its upstream was found to have ended. */
-  bool BrokeOff = false;
+  gsAttemptOutcome Outcome = gsAttemptOutcome::Incomplete;
+  unsigned Status = 0; ///< HTTP status of the answer; zero if there was none.
+  /** One sentence on the cause; empty if the answer is complete. */
+  std::string Detail;
+  /** Abandoned because the upstream sent nothing for too long. */
+  bool IsSilenceTimeout = false;
+  /**
+   * The connection was lost, or the upstream was found to have restarted or
+   * ended.
+   */
+  bool IsUpstreamLost = false;
 };
 
-/** One sending of a request to one upstream. */
+/** One transmission of a request to one upstream. */
 struct gsAttempt
 {
   gsIncarnation Upstream;
   std::string Address;
-  std::uint64_t Call = 0; ///< Zero once it has ended.
-  bool Sent = false;      ///< Bytes may have left.
+  std::uint64_t CallId =
+    0; ///< Id of the call; zero once the attempt has ended.
+  bool MayHaveSentBytes =
+    false; ///< Whether bytes of the request may have been sent.
   unsigned Status = 0;
-  bool Answered = false; ///< It has ended with a whole answer.
-  /** One of those with which this host comes back after the upstream's rest,
-   * and not answered yet. */
-  bool Returns = false;
-  /** Whether a token of the upstream's rate limit is reserved until sending.
+  /** Whether the attempt has ended with a complete answer. */
+  bool IsAnswered = false;
+  /**
+   * Whether the attempt counts against the limit on unanswered attempts while
+   * this host resumes sending after a backoff of the upstream. Reset when it
+   * is answered or ends.
+   */
+  bool IsResumption = false;
+  /**
+   * Whether a token of the upstream's rate limit is reserved until the request
+   * is sent.
    */
   bool HasReservedToken = false;
-  gsAnswerHead Head;
-  std::string Body; ///< Of an answer that is not relayed event by event.
-  gsEventSplitter Events;
-  std::uint32_t ReadTokens = 0;   ///< Charged to the upstream's row until
-                                  ///< the first byte.
-  std::uint32_t MemoryTokens = 0; ///< Charged until the attempt's end.
-  gsExpectedWait Wait;            ///< There, when it was sent.
-  gsTime Started{};
+  gsResponseHead AnswerHead;
+  std::string
+    AnswerBody; ///< Body of an answer that is not relayed event by event.
+  gsEventSplitter EventSplitter;
+  /**
+   * Prompt tokens charged to the upstream's row until the first byte of the
+   * answer.
+   */
+  std::uint32_t ReadTokens = 0;
+  /**
+   * Tokens of memory charged to the upstream's row until the end of the
+   * attempt.
+   */
+  std::uint32_t MemoryTokens = 0;
+  /** Expected wait at the upstream when the attempt was started. */
+  gsExpectedWait ExpectedWait;
+  gsTime StartedAt{};
   gsTime SentAt{};
   gsTime FirstByteAt{};
   gsTime LastByteAt{};
   gsTime LastEventAt{};
-  gsTime LongestGap{}; ///< Between events.
-  /** Another upstream is looked for no earlier, after there was none. */
-  gsTime LookAgainAt{};
-  /** Its upstream was avoided for its silence. Once: one request that is never
-   * answered says little of an upstream that may answer all others. */
-  bool SilenceNoted = false;
+  gsTime
+    MaxEventInterval{}; ///< Longest interval between two events of the answer.
+  /**
+   * Earliest time of the next attempt to start a hedge, after one that failed
+   * or was cancelled.
+   */
+  gsTime NextHedgeAt{};
+  /**
+   * Whether the upstream has been marked as unreachable for its silence. It is
+   * marked only once per attempt, because a single request that is never
+   * answered is weak evidence about an upstream that may answer all others.
+   */
+  bool IsSilenceRecorded = false;
 };
 
 /** A request held by this host. */
@@ -81,55 +110,82 @@
 {
   std::shared_ptr<gsHttpExchange> Exchange;
   gsCallerRequest Caller;
-  /** The version by which it is handled; keeps Route alive. */
-  std::shared_ptr<gsRouteTable const> Table;
+  /** Configuration that applies to the request; keeps Route alive. */
+  std::shared_ptr<gsRouteTable const> RouteTable;
   gsRoute const* Route = nullptr;
-  std::string Organisation; ///< Empty for anonymous requests.
-  /** Regions that its organisation is kept to, in Table; null for none. */
+  /** Name of the organisation; empty for anonymous requests. */
+  std::string Organisation;
+  /**
+   * Regions that the organisation is restricted to, owned by RouteTable; null
+   * if it is not restricted.
+   */
   std::vector<std::string> const* OrganisationRegions = nullptr;
   std::string Service;
+  /** Lower values are more urgent. */
   std::uint32_t Priority = 0;
-  std::uint64_t Sequence = 0; ///< Names it on this host.
-  gsTime Arrived{};
-  gsTime DeadlineAt{}; ///< The caller's.
-  gsTime TimeoutAt{};  ///< The route's.
+  std::uint64_t LocalId = 0; ///< Identifies the request on this host.
+  gsTime ArrivedAt{};
+  /** Deadline of the caller; the route's timeout if the caller names none. */
+  gsTime DeadlineAt{};
+  gsTime TimeoutAt{}; ///< End of the route's timeout.
 
-  std::shared_ptr<gsAttempt> Attempt; ///< The last one; null before it.
+  /** The latest attempt; null before the first. */
+  std::shared_ptr<gsAttempt> Attempt;
   /**
-   * The attempt before, whose upstream had fallen silent. It is read on beside
-   * Attempt, its hedge, until either of them answers. Null without a hedge.
+   * The previous attempt, whose upstream has stopped sending. Its answer is
+   * still read, concurrently with that of Attempt, its hedge, until either of
+   * them answers. Null without a hedge.
    */
   std::shared_ptr<gsAttempt> Primary;
-  std::vector<gsIncarnation> Tried; ///< Upstreams asked so far.
-  std::uint32_t Sends = 0;          ///< Attempts whose bytes may have left.
-  bool MayHaveRun = false;          ///< By any attempt that has ended.
-  bool Began = false;               ///< It was counted as begun.
+  std::vector<gsIncarnation>
+    TriedUpstreams; ///< Upstreams of all attempts so far.
+  /** Number of attempts of which bytes may have been sent. */
+  std::uint32_t SentAttempts = 0;
+  /** Whether an attempt that has ended may have run it. */
+  bool MayHaveRun = false;
+  /** Whether the start of its execution has been reported. */
+  bool IsStartReported = false;
   bool CallerHasBytes = false;
-  bool CallerPaused = false; ///< The caller reads slower than it is sent.
-  /** Last event that the caller was sent, or came with. */
-  std::optional<std::uint64_t> LastEvent;
-  /** No connection was had to an upstream of another hall. */
-  bool StaysInHall = false;
-  bool Ended = false;
-  /** Absent until it is needed; see gsRequestFingerprint. */
+  /**
+   * Reading the answer is paused, because the caller reads more slowly than
+   * the upstream sends.
+   */
+  bool IsCallerPaused = false;
+  /**
+   * Id of the last event sent to the caller, or of the one after which the
+   * caller asked to resume.
+   */
+  std::optional<std::uint64_t> LastEventId;
+  /**
+   * Whether upstreams of this hall are preferred, because an attempt at
+   * another hall could not be sent.
+   */
+  bool PrefersOwnHall = false;
+  bool HasEnded = false;
+  /** Set on first use by gsRequestFingerprint. */
   std::optional<gsFingerprint> Fingerprint;
-  /** It runs as the one copy of a contained request on this host. */
-  bool Contained = false;
-  /** Upstream (gsFleetRow::Hash) for whose token the request waits; a token of
-   * another upstream of the service also ends the wait. Empty if not waiting.
+  /**
+   * Whether it is the only copy of a contained request that may run on this
+   * host.
+   */
+  bool IsContainedCopy = false;
+  /**
+   * Upstream (gsFleetRow::Hash) for whose token the request waits. A token of
+   * another upstream of the same service also ends the wait. Empty if the
+   * request does not wait.
    */
   std::optional<std::uint32_t> AwaitedUpstream;
-  gsTime
-    WaitUntil{}; ///< End of the wait for a token; zero before the first wait.
+  /** Limit of the wait for a token; zero before the first wait. */
+  gsTime TokenWaitUntil{};
 
-  /** Whether it may run a second time. */
+  /** Whether the request may run more than once. */
   bool MayRepeat() const
   {
     return this->Route->Repeatable || this->Route->Resumable;
   }
 };
 
-/** The fingerprint of a request; worked out once. */
+/** The fingerprint of a request, computed on the first call. */
 gsFingerprint const& gsRequestFingerprint(gsRoutedRequest& request);
 
 using gsRoutedRequestPtr = std::shared_ptr<gsRoutedRequest>;
--- a/Source/Daemon/gsScaleDuty.cxx
+++ b/Source/Daemon/gsScaleDuty.cxx
@@ -10,10 +10,10 @@
 
 namespace {
 
-constexpr gsTime DecidePeriod = gsMilliseconds(400);
-constexpr gsTime CallPatience = gsMilliseconds(1200);
-constexpr gsTime ConnectPatience = gsMilliseconds(400);
-constexpr gsTime RetryGap = gsMilliseconds(800);
+constexpr gsTime DecisionInterval = gsMilliseconds(400);
+constexpr gsTime CallTimeout = gsMilliseconds(1200);
+constexpr gsTime ConnectTimeout = gsMilliseconds(400);
+constexpr gsTime RetryDelay = gsMilliseconds(800);
 
 } // namespace
 
@@ -46,15 +46,16 @@
 
 gsScaleDuty::~gsScaleDuty()
 {
-  this->LetGo();
+  this->Reset();
 }
 
-/** A host that does not hold the duty believes nothing of what it ordered. */
-void gsScaleDuty::LetGo()
+/** Cancels pending orders and discards all state. What a host ordered
+ * earlier is no longer valid once it has lost the lease. */
+void gsScaleDuty::Reset()
 {
-  for (auto& [subject, ordered] : this->Orders) {
-    if (ordered.Call != 0) {
-      this->Client.Cancel(ordered.Call);
+  for (auto& [key, state] : this->Orders) {
+    if (state.PendingCall != 0) {
+      this->Client.Cancel(state.PendingCall);
     }
   }
   this->Orders.clear();
@@ -64,111 +65,116 @@
 void gsScaleDuty::Tick(std::shared_ptr<gsRouteTable const> const& table,
                        double millisPerToken, gsTime now)
 {
-  if (!this->Lease.MayAct(now)) {
-    this->LetGo();
+  if (!this->Lease.MaySendDutyCall(now)) {
+    this->Reset();
     return;
   }
-  if (table == nullptr || now - this->Decided < DecidePeriod) {
+  if (table == nullptr || now - this->LastDecisionAt < DecisionInterval) {
     return;
   }
-  this->Decided = now;
+  this->LastDecisionAt = now;
   for (gsRouteService const& service : table->Services) {
     if (service.Scaling && this->Settings.Scaling.Enabled) {
-      this->Decide(service, millisPerToken, now);
+      this->UpdateOrders(service, millisPerToken, now);
     }
   }
 }
 
-void gsScaleDuty::Decide(gsRouteService const& service, double millisPerToken,
-                         gsTime now)
+void gsScaleDuty::UpdateOrders(gsRouteService const& service,
+                               double millisPerToken, gsTime now)
 {
   gsScalingCounts listed = gsCountUpstreams(this->Fleet, service.Name);
   double demand =
-    gsEnginesBusy(this->Fleet, service.Name, millisPerToken, now);
-  this->Startups[service.Name] = service.Scaling->Startup;
+    gsBusyEngines(this->Fleet, service.Name, millisPerToken, now);
+  this->Startups[service.Name] = service.Scaling->StartupTime;
   gsScaling& scaling = this->Scalings[service.Name];
   gsScalingCounts wanted = gsScalingDecide(
     scaling, this->Settings.Scaling, *service.Scaling, listed, demand, now);
-  for (auto const& [subject, count] : wanted) {
-    auto there = listed.find(subject);
-    this->Order(service.Name, subject, count,
-                there == listed.end() ? 0 : there->second, demand, now);
+  for (auto const& [pool, count] : wanted) {
+    auto current = listed.find(pool);
+    this->PlaceOrder(service.Name, pool, count,
+                     current == listed.end() ? 0 : current->second, demand,
+                     now);
   }
 }
 
-void gsScaleDuty::Order(std::string const& service,
-                        gsScalingSubject const& subject, std::uint32_t wanted,
-                        std::uint32_t there, double demand, gsTime now)
+void gsScaleDuty::PlaceOrder(std::string const& service,
+                             gsScalingPool const& pool, std::uint32_t wanted,
+                             std::uint32_t current, double demand, gsTime now)
 {
-  Subject name{ service, subject };
-  Ordered& ordered = this->Orders[name];
+  PoolKey key{ service, pool };
+  OrderState& state = this->Orders[key];
   bool due =
-    ordered.Call == 0 &&
-    gsScalingIsDue(ordered.Order, wanted, there, this->Startups[service],
-                   this->Lease.Proof().Token, now);
+    state.PendingCall == 0 &&
+    gsScalingOrderIsDue(state.Order, wanted, current, this->Startups[service],
+                        this->Lease.Proof().FencingToken, now);
   if (!due) {
     return;
   }
-  gsDutyProof proof = this->Lease.Proof();
+  gsLeaseProof proof = this->Lease.Proof();
   gsScaling const& scaling = this->Scalings[service];
   gsLogLine("order")
     .With("service", service)
-    .With("hall", subject.Hall)
-    .With("withdrawable", subject.Withdrawable)
+    .With("hall", pool.Hall)
+    .With("withdrawable", pool.Withdrawable)
     .With("wanted", wanted)
-    .With("before", ordered.Order.Count)
-    .With("there", there)
-    .With("total", scaling.Total)
+    .With("before", state.Order.Count)
+    .With("there", current)
+    .With("total", scaling.WantedTotal)
     .With("busy_engines", static_cast<std::uint64_t>(demand))
-    .With("peak", static_cast<std::uint64_t>(scaling.Peak))
-    .With("token", proof.Token)
+    .With("peak", static_cast<std::uint64_t>(scaling.PeakDemand))
+    .With("token", proof.FencingToken)
     .With("dry_run", this->Settings.Scaling.DryRun);
-  gsScalingGive(ordered.Order, wanted, proof.Token, now);
-  ordered.Order.Answered = this->Settings.Scaling.DryRun;
+  gsScalingRecordOrder(state.Order, wanted, proof.FencingToken, now);
+  state.Order.IsAnswered = this->Settings.Scaling.DryRun;
   if (this->Settings.Scaling.DryRun) {
     return;
   }
-  gsUpstreamOrder order{ service, subject.Hall, wanted, subject.Withdrawable };
-  gsCall call =
-    this->Adapter.OrderUpstreams(this->Settings.Duties.Address, proof, order);
-  call.ConnectTimeout = ConnectPatience;
-  call.TotalTimeout = CallPatience;
+  gsUpstreamOrder order{ service, pool.Hall, wanted, pool.Withdrawable };
+  gsCall call = this->Adapter.MakeUpstreamOrderCall(
+    this->Settings.Duties.Address, proof, order);
+  call.ConnectTimeout = ConnectTimeout;
+  call.TotalTimeout = CallTimeout;
   call.Reuse = true;
-  call.BeforeSend = [this] { return this->Lease.MayAct(gsLoop::Now()); };
-  ++this->Made;
-  ordered.Call = gsFetch(
+  call.BeforeSend = [this] {
+    return this->Lease.MaySendDutyCall(gsLoop::Now());
+  };
+  ++this->CallsMade;
+  state.PendingCall = gsFetch(
     this->Client, std::move(call),
-    [this, name](gsAnswer const& answer) { this->OnAnswer(name, answer); });
+    [this, key](gsAnswer const& answer) { this->OnResponse(key, answer); });
 }
 
-void gsScaleDuty::OnAnswer(Subject const& subject, gsAnswer const& answer)
+void gsScaleDuty::OnResponse(PoolKey const& key, gsAnswer const& answer)
 {
   gsTime now = gsLoop::Now();
-  Ordered& ordered = this->Orders[subject];
-  ordered.Call = 0;
-  gsDutyAnswer outcome = this->Adapter.ReadDutyAnswer(answer, true);
-  bool taken = outcome == gsDutyAnswer::Taken;
-  bool none = outcome == gsDutyAnswer::NoneThere;
-  gsLogLine("order_answer", taken ? gsLogLevel::Info : gsLogLevel::Warn)
-    .With("service", subject.first)
-    .With("hall", subject.second.Hall)
-    .With("withdrawable", subject.second.Withdrawable)
-    .With("wanted", ordered.Order.Count)
-    .With("token", ordered.Order.Token)
+  OrderState& state = this->Orders[key];
+  state.PendingCall = 0;
+  gsDutyCallResult outcome = this->Adapter.ParseDutyResponse(answer, true);
+  bool accepted = outcome == gsDutyCallResult::Accepted;
+  bool unavailable = outcome == gsDutyCallResult::Unavailable;
+  gsLogLine("order_answer", accepted ? gsLogLevel::Info : gsLogLevel::Warn)
+    .With("service", key.first)
+    .With("hall", key.second.Hall)
+    .With("withdrawable", key.second.Withdrawable)
+    .With("wanted", state.Order.Count)
+    .With("token", state.Order.FencingToken)
     .With("status", answer.End.Status)
-    .With("outcome", taken  ? "taken"
-                     : none ? "none_there"
-                            : "not_taken")
+    .With("outcome", accepted      ? "taken"
+                     : unavailable ? "none_there"
+                                   : "not_taken")
     .With("message", answer.Body.substr(0, 120));
-  this->Metrics.Count("gradescale_orders_total",
-                      gsLabels({ { "outcome", taken ? "taken" : "not" } }));
-  ordered.Order.Answered = taken || none;
-  ordered.Order.NextTry = taken ? gsTime{} : now + RetryGap;
-  if (none) {
-    gsScalingNoteDry(this->Scalings[subject.first], this->Settings.Scaling,
-                     subject.second.Hall, now);
-    ordered.Order.NextTry = now + this->Settings.Scaling.DryPatience;
-  } else if (outcome == gsDutyAnswer::HigherToken) {
-    this->Lease.Lose("orders", now);
+  this->Metrics.Increment(
+    "gradescale_orders_total",
+    gsLabels({ { "outcome", accepted ? "taken" : "not" } }));
+  state.Order.IsAnswered = accepted || unavailable;
+  state.Order.NextAttemptAt = accepted ? gsTime{} : now + RetryDelay;
+  if (unavailable) {
+    gsScalingRecordUnavailable(this->Scalings[key.first],
+                               this->Settings.Scaling, key.second.Hall, now);
+    state.Order.NextAttemptAt =
+      now + this->Settings.Scaling.UnavailableRetryDelay;
+  } else if (outcome == gsDutyCallResult::StaleToken) {
+    this->Lease.Revoke("orders", now);
   }
 }
--- a/Source/Daemon/gsScaleDuty.h
+++ b/Source/Daemon/gsScaleDuty.h
@@ -1,10 +1,12 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * Orders upstreams by demand, as the holder of the duty: what gsScaling wants
- * and is not there is ordered, hall by hall and kind by kind. An order that
- * was not answered may be carried out late; the next one of its subject goes
- * with a higher token, so that the platform refuses the older.
+ * Orders upstreams by demand on the host that holds the lease on duties. For
+ * each hall and each kind of upstream, the number that gsScaling determines is
+ * ordered if it differs from the number that exists. An order without a
+ * response may still be executed later. The next order for the same hall and
+ * kind is therefore sent only with a higher fencing token, so that the
+ * platform refuses the older one.
  */
 #pragma once
 
@@ -26,7 +28,7 @@
 class gsScaleDuty
 {
 public:
-  /** All that is referred to outlives this. */
+  /** All referenced objects have to outlive this one. */
   gsScaleDuty(gsHttpClient& client, gsAdapter const& adapter,
               gsSettings const& settings, gsMetrics& metrics,
               gsLeaseKeeper& lease, gsFleet const& fleet);
@@ -35,30 +37,36 @@
   gsScaleDuty& operator=(gsScaleDuty const&) = delete;
 
   /**
-   * Decides and orders, if this host holds the duty. MillisPerToken is how
-   * long an engine takes to read a token.
+   * Determines the wanted numbers and sends due orders if this host holds the
+   * lease; otherwise discards its state.
+   *
+   * \param table The configuration, or null if it is not known yet.
+   * \param millisPerToken Time that an engine takes to process a prompt token.
    */
   void Tick(std::shared_ptr<gsRouteTable const> const& table,
             double millisPerToken, gsTime now);
 
-  std::uint64_t Calls() const { return this->Made; }
+  /** Number of orders sent to the platform. */
+  std::uint64_t CallCount() const { return this->CallsMade; }
 
 private:
-  using Subject = std::pair<std::string, gsScalingSubject>; ///< With service.
+  /** Name of a service, and one of its pools. */
+  using PoolKey = std::pair<std::string, gsScalingPool>;
 
-  struct Ordered
+  /** The last order for a pool. */
+  struct OrderState
   {
     gsScalingOrder Order;
-    std::uint64_t Call = 0; ///< Under way; zero for none.
+    std::uint64_t PendingCall = 0; ///< Zero if there is none.
   };
 
-  void Decide(gsRouteService const& service, double millisPerToken,
-              gsTime now);
-  void Order(std::string const& service, gsScalingSubject const& subject,
-             std::uint32_t wanted, std::uint32_t there, double demand,
-             gsTime now);
-  void OnAnswer(Subject const& subject, gsAnswer const& answer);
-  void LetGo();
+  void UpdateOrders(gsRouteService const& service, double millisPerToken,
+                    gsTime now);
+  void PlaceOrder(std::string const& service, gsScalingPool const& pool,
+                  std::uint32_t wanted, std::uint32_t current, double demand,
+                  gsTime now);
+  void OnResponse(PoolKey const& key, gsAnswer const& answer);
+  void Reset();
 
   gsHttpClient& Client;
   gsAdapter const& Adapter;
@@ -67,12 +75,13 @@
   gsLeaseKeeper& Lease;
   gsFleet const& Fleet;
   std::map<std::string, gsScaling> Scalings; ///< By service.
-  std::map<Subject, Ordered> Orders;
-  std::map<std::string, gsTime> Startups; ///< By service.
-  gsTime Decided{};
-  std::uint64_t Made = 0;
+  std::map<PoolKey, OrderState> Orders;      ///< Last orders, by pool.
+  /** Startup times of upstreams, by service. */
+  std::map<std::string, gsTime> Startups;
+  gsTime LastDecisionAt{}; ///< When Tick last determined wanted numbers.
+  std::uint64_t CallsMade = 0;
 };
 
-/** The upstreams of a service that are there and do not leave. */
+/** Numbers of the listed upstreams of a service that are not leaving. */
 gsScalingCounts gsCountUpstreams(gsFleet const& fleet,
                                  std::string const& service);
--- a/Source/Daemon/gsSettings.h
+++ b/Source/Daemon/gsSettings.h
@@ -19,12 +19,13 @@
 #include "gsReplica.h"
 #include "gsScaling.h"
 
+/** All settings of a daemon, with their defaults. */
 struct gsSettings
 {
   std::string Host;
   std::string Hall;
-  /** Share of a processor core that this host may use: the strongest hosts of
-   * a hall coordinate it. */
+  /** Processor cores that this host may use, possibly less than one. The
+   * hosts of a hall with the most cores coordinate it. */
   double Cores = 1;
   std::string LogLevel = "info";
 
@@ -47,8 +48,8 @@
 
   struct
   {
-    std::string Listen; ///< Empty for a system of one host.
-    std::string Announce;
+    std::string Listen;   ///< Empty for a system of one host.
+    std::string Announce; ///< Address announced to peers; default Listen.
     std::string Token;
     std::string Cluster; ///< Cluster name; empty disables the check.
     std::vector<std::string> Seeds;
@@ -57,8 +58,8 @@
 
   struct
   {
-    bool Memory = false;
-    bool Table = false; ///< The routed mode: the platform's tables rule.
+    bool Memory = false; ///< Uses the in-memory platform of this process.
+    bool Table = false;  ///< Routed mode, which uses the platform's tables.
     std::string Address;
     std::string Token;
     gsTime Timeout = gsMilliseconds(1500);
@@ -74,41 +75,44 @@
 
   struct
   {
-    double Share = 0.1;
-    double Burst = 10;
-    /** Repeats saved up by all hosts together; zero: Burst for each host. */
+    double Share = 0.1; ///< Retries earned per request.
+    double Burst = 10;  ///< Maximum saved retries of a host.
+    /** Maximum saved retries of all hosts combined, in routed mode; zero
+     * applies Burst to each host. */
     double BurstOfAll = 0;
   } Retry;
 
-  /** Only for the routed mode. */
+  /** Settings that apply only in routed mode. */
   struct
   {
-    /** An upstream that leaves gets no new work after so long: what bounds how
-     * long a watch of the platform is held, and news are gathered. */
+    /** Time after which a leaving upstream gets no new work. It bounds how
+     * long a watch of the platform is held and updates are batched. */
     gsTime Leaving = gsMilliseconds(2000);
-    gsTime WatchWait = gsMilliseconds(2000); ///< As Leaving, unless set.
+    gsTime WatchWait = gsMilliseconds(2000); ///< Defaults to Leaving.
     gsTime Silence = gsMilliseconds(700);
     gsTime RetryAfter = gsMilliseconds(300);
     gsTime LoadPeriod = gsMilliseconds(50);
-    /** All hosts start for the first time, and no caller waits yet. */
+    /** All hosts start for the first time and no caller is waiting. */
     bool FirstStart = false;
-    /** The region of each hall; empty where there is but one. */
+    /** The region of each hall; empty if there is only one. */
     std::map<std::string, std::string> Regions;
   } Routing;
 
-  /** What one host at a time does for all, in the routed mode. */
+  /** Duties that one host at a time performs for all, in routed mode. */
   struct
   {
-    /** Where the platform takes calls on duties; empty for no duties. */
+    /** Platform address for duty calls; empty disables duties. */
     std::string Address;
     bool Usage = false;                  ///< Usage is reported.
     bool Orders = false;                 ///< Upstreams are ordered by demand.
-    gsTime Lease = gsMilliseconds(3000); ///< Longest without a renewal.
-    gsTime Window = gsSeconds(5);        ///< Of a usage report.
-    gsTime Late = gsSeconds(10);         ///< After its end a report is late.
+    gsTime Lease = gsMilliseconds(3000); ///< Validity without renewal.
+    gsTime Window = gsSeconds(5);        ///< Span of a usage report.
+    /** A report is late when this time has passed since its window ended. */
+    gsTime Late = gsSeconds(10);
   } Duties;
 
-  /** How upstreams are ordered, where the configuration allows it. */
+  /** Rules for ordering upstreams by demand, if the configuration allows it.
+   */
   gsScalingSettings Scaling;
 
   /** Choice of an upstream in the routed mode; Hall is set from above. */
@@ -116,15 +120,16 @@
 
   struct
   {
+    /** Time to serve requests while reporting not ready. */
     gsTime Unready = gsMilliseconds(500);
-    gsTime Longest = gsSeconds(600);
-    gsTime Margin{}; ///< Before Longest, for the end itself.
+    gsTime Longest = gsSeconds(600); ///< Maximum duration of a planned stop.
+    gsTime Margin{}; ///< Routed mode ends the loop this long before Longest.
   } Stop;
 
   gsPoolSettings Pool;
   gsMembershipSettings Membership;
   gsReplicaSettings Replica;
-  /** First document of a system with the memory platform. */
+  /** Initial document of a system with the memory platform. */
   std::optional<gsDocument> Document;
 };
 
--- a/Source/Daemon/gsSseScanner.cxx
+++ b/Source/Daemon/gsSseParser.cxx
@@ -1,10 +1,10 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
-#include "gsSseScanner.h"
+#include "gsSseParser.h"
 
 namespace {
 
-/** Where the first whole event of the text ends; npos if there is none. */
-std::size_t EventEnd(std::string_view text)
+/** Offset just after the first complete event; npos if there is none. */
+std::size_t FindEventEnd(std::string_view text)
 {
   std::size_t unixEnd = text.find("\n\n");
   std::size_t dosEnd = text.find("\r\n\r\n");
@@ -21,26 +21,26 @@
 
 } // namespace
 
-std::string gsSseScanner::Feed(std::string_view bytes)
+std::string gsSseParser::Append(std::string_view bytes)
 {
-  std::string whole;
+  std::string complete;
   if (this->Ended) {
-    return whole;
+    return complete;
   }
   this->Partial.append(bytes);
-  std::string_view rest = this->Partial;
-  std::size_t end = EventEnd(rest);
+  std::string_view remaining = this->Partial;
+  std::size_t end = FindEventEnd(remaining);
   while (end != std::string_view::npos && !this->Ended) {
-    std::string_view event = rest.substr(0, end);
+    std::string_view event = remaining.substr(0, end);
     this->Ended =
       StartsWith(event, "data: [DONE]") || StartsWith(event, "data:[DONE]");
     if (!this->Ended && StartsWith(event, "data:")) {
       ++this->Count;
     }
-    whole.append(event);
-    rest.remove_prefix(end);
-    end = EventEnd(rest);
+    complete.append(event);
+    remaining.remove_prefix(end);
+    end = FindEventEnd(remaining);
   }
-  this->Partial.erase(0, this->Partial.size() - rest.size());
-  return whole;
+  this->Partial.erase(0, this->Partial.size() - remaining.size());
+  return complete;
 }
--- a/Source/Daemon/gsTableSync.cxx
+++ b/Source/Daemon/gsTableSync.cxx
@@ -9,44 +9,51 @@
 
 namespace {
 
-/** The newest form that the sender of a frame and this host both read. */
-gsRowForm ReadsOf(gradescale::Frame const& frame)
-{
-  std::uint32_t newest = static_cast<std::uint32_t>(gsRowFormRead);
-  return static_cast<gsRowForm>(std::min(frame.reads_row_form(), newest));
-}
-
-/** A watch usually brings by itself what another host has; wait that long. */
-constexpr gsTime BehindPatience = gsMilliseconds(300);
-/** Frames that were queued while this process stood still tell of then; they
- * are read by so long after it. */
-constexpr gsTime QueuedFrames = gsMilliseconds(50);
-/** A watcher's sign of life to its hall. */
-constexpr gsTime BeatPeriod = gsMilliseconds(400);
-/** A watch's answer may be later than its wait by as much. */
-constexpr gsTime AgeMargin = gsMilliseconds(900);
-/** At a first start of all, hosts know their coordinators after 0.7 s
- * (measured with 295 hosts of a tenth of a core); those that watch read then,
- */
-constexpr gsTime FirstStartPatience = gsMilliseconds(1200);
-/** and the others by themselves if nobody has told them until then. */
-constexpr gsTime ToldPatience = gsMilliseconds(3000);
-/** Changes are gathered for this part of the time in which a leaving upstream
- * has to be known; each time is a call to the platform by each watcher. */
-constexpr int GatherShare = 12;
-/** News are told no more often than this: when 170 upstreams come one after
- * the other, each host of a hall would else take in 80 changes of its whole
- * list in 4 s from each watcher (measured). */
-constexpr gsTime PushGap = gsMilliseconds(200);
+/** The newest row format that both the sender of a frame and this host can
+ * parse. */
+gsRowFormat CommonRowFormat(gradescale::Frame const& frame)
+{
+  std::uint32_t newest = static_cast<std::uint32_t>(gsNewestRowFormat);
+  return static_cast<gsRowFormat>(std::min(frame.reads_row_form(), newest));
+}
+
+/** Delay before changes that another host has are queried from it, as a watch
+ * usually returns them by then. */
+constexpr gsTime PeerQueryDelay = gsMilliseconds(300);
+/** Time within which frames that were queued while the process was suspended
+ * are processed. Their content may be out of date. */
+constexpr gsTime QueuedFrameTime = gsMilliseconds(50);
+/** Interval between the heartbeats of a watcher to its hall. */
+constexpr gsTime HeartbeatInterval = gsMilliseconds(400);
+/** Maximum delay of a watch's response beyond its wait, added to the maximum
+ * age of tables. */
+constexpr gsTime TablesAgeMargin = gsMilliseconds(900);
+/** Delay before watchers read the tables at the first start of all hosts. 295
+ * hosts with a tenth of a core each discovered their coordinators within
+ * 0.7 s. */
+constexpr gsTime WatcherStartDelay = gsMilliseconds(1200);
+/** Delay after which the other hosts read the tables themselves at the first
+ * start of all hosts, if no host has sent them the tables by then. */
+constexpr gsTime FirstReadTimeout = gsMilliseconds(3000);
+/** Changes are batched for this fraction of the time within which hosts have
+ * to learn that an upstream is leaving. Each batch costs every watcher a call
+ * to the platform. */
+constexpr int BatchDelayDivisor = 12;
+/** Minimum interval between updates. Without it, when 170 upstreams appeared
+ * one after the other, each host of a hall processed 80 changes of its whole
+ * list in 4 s from each watcher. */
+constexpr gsTime MinPushInterval = gsMilliseconds(200);
 /**
- * News of more rows are not told to other halls unasked: their own watchers
- * have them as soon. At a start of 10,000 upstreams six halls would tell each
- * other some 80 MB; asked for, rows come 1.3 s later where a watch is silent.
+ * Updates with more rows are not sent to other halls unless queried, as the
+ * watchers of those halls receive the changes equally soon. At a start of
+ * 10,000 upstreams, six halls would otherwise send each other about 80 MB.
+ * Where a watch is unresponsive, queried rows arrive 1.3 s later.
  */
-constexpr std::size_t FarRowsMost = 64;
+constexpr std::size_t MaxRowsToOtherHalls = 64;
 
-/** An age of zero would mean none. */
-std::uint32_t AgeForFrames(gsTime since)
+/** Age for a frame's header, in milliseconds plus one, since zero means that
+ * there is none. */
+std::uint32_t FrameAge(gsTime since)
 {
   auto age = std::chrono::duration_cast<gsMilliseconds>(gsLoop::Now() - since);
   return static_cast<std::uint32_t>(std::max<std::int64_t>(age.count(), 0)) +
@@ -56,29 +63,30 @@
 gsTableWatchSettings WatchSettings(gsSettings const& settings)
 {
   gsTableWatchSettings watch;
-  watch.Platform = settings.Platform.Address;
-  watch.Wait = settings.Routing.WatchWait;
-  watch.Gather = settings.Routing.Leaving / GatherShare;
+  watch.PlatformAddress = settings.Platform.Address;
+  watch.WatchWait = settings.Routing.WatchWait;
+  watch.BatchDelay = settings.Routing.Leaving / BatchDelayDivisor;
   return watch;
 }
 
 } // namespace
 
-/** Routes and keys do not lapse: what was taken away is so at once. */
-gsTableWatchSettings gsRoutesWatch(gsSettings const& settings,
-                                   gsAdapter const& adapter)
+/** Rows of this table do not expire. A removed route or key is therefore
+ * removed immediately, without a return grace period. */
+gsTableWatchSettings gsRoutesWatchSettings(gsSettings const& settings,
+                                           gsAdapter const& adapter)
 {
   gsTableWatchSettings watch = WatchSettings(settings);
-  watch.Table = adapter.Tables.Routes;
-  watch.ReturnPatience = gsTime{};
+  watch.TableName = adapter.Tables.Routes;
+  watch.ReturnGracePeriod = gsTime{};
   return watch;
 }
 
-gsTableWatchSettings gsUpstreamsWatch(gsSettings const& settings,
-                                      gsAdapter const& adapter)
+gsTableWatchSettings gsUpstreamsWatchSettings(gsSettings const& settings,
+                                              gsAdapter const& adapter)
 {
   gsTableWatchSettings watch = WatchSettings(settings);
-  watch.Table = adapter.Tables.Upstreams;
+  watch.TableName = adapter.Tables.Upstreams;
   return watch;
 }
 
@@ -89,89 +97,97 @@
   , Settings(settings)
   , Events(std::move(events))
 {
-  this->RoutesPushed.Table = adapter.Tables.Routes;
-  this->UpstreamsPushed.Table = adapter.Tables.Upstreams;
+  this->RoutesPush.Table = adapter.Tables.Routes;
+  this->UpstreamsPush.Table = adapter.Tables.Upstreams;
   this->Duty.Self = settings.Host;
-  this->Duty.Settings.MostAge = settings.Routing.WatchWait + AgeMargin;
+  this->Duty.Settings.MaxTablesAge =
+    settings.Routing.WatchWait + TablesAgeMargin;
   this->Routes = std::make_unique<gsTableWatch>(
-    loop, client, adapter, gsRoutesWatch(settings, adapter), [this] {
-      this->Routes->TakeTouched(); // Read whole, as it is one document.
-      this->OfferNews(*this->Routes, this->RoutesPushed);
-      this->Events.OnRoutes();
+    loop, client, adapter, gsRoutesWatchSettings(settings, adapter), [this] {
+      // The keys are not used, as the table is read as one document.
+      this->Routes->TakeChangedKeys();
+      this->PushOrDeferUpdate(*this->Routes, this->RoutesPush);
+      this->Events.OnRoutesChanged();
     });
   this->Upstreams = std::make_unique<gsTableWatch>(
-    loop, client, adapter, gsUpstreamsWatch(settings, adapter), [this] {
-      this->OfferNews(*this->Upstreams, this->UpstreamsPushed);
-      this->Events.OnUpstreams();
+    loop, client, adapter, gsUpstreamsWatchSettings(settings, adapter),
+    [this] {
+      this->PushOrDeferUpdate(*this->Upstreams, this->UpstreamsPush);
+      this->Events.OnUpstreamsChanged();
     });
 }
 
 void gsTableSync::Start(gsHallCluster& cluster)
 {
   this->Cluster = &cluster;
-  this->Duty.Started = gsLoop::Now();
+  this->Duty.StartedAt = gsLoop::Now();
   if (this->Settings.Routing.FirstStart) {
-    // 295 hosts that each read two tables make as many calls to the platform
-    // as their watchers in the 50 s after it.
-    this->Duty.Settings.StartPatience = FirstStartPatience;
+    // If each of 295 hosts read two tables, they would make as many calls to
+    // the platform as their watchers do in the following 50 s.
+    this->Duty.Settings.StartupDelay = WatcherStartDelay;
     this->Routes->Pause();
     this->Upstreams->Pause();
     return;
   }
-  this->Started = true;
+  this->HasStarted = true;
   this->Routes->Start();
   this->Upstreams->Start();
 }
 
-/** Ends the wait of a first start. */
-void gsTableSync::ReadIfNotTold(gsTime now)
+/** Ends the delay at the first start of all hosts once the tables are known,
+ * this host watches, or FirstReadTimeout has passed. */
+void gsTableSync::StartIfDue(gsTime now)
 {
-  if (this->Started) {
+  if (this->HasStarted) {
     return;
   }
-  bool told = this->Routes->Known() && this->Upstreams->Known();
+  bool isKnown =
+    this->Routes->IsInitialized() && this->Upstreams->IsInitialized();
   bool watches = this->Duty.State != gsWatchState::Covered;
-  this->Started = told || watches || now - this->Duty.Started >= ToldPatience;
-  if (this->Started && !told && !watches) {
+  this->HasStarted =
+    isKnown || watches || now - this->Duty.StartedAt >= FirstReadTimeout;
+  if (this->HasStarted && !isKnown && !watches) {
     this->Routes->ReadOnce();
     this->Upstreams->ReadOnce();
   }
 }
 
-std::uint64_t gsTableSync::Version() const
+std::uint64_t gsTableSync::LastChangeVersion() const
 {
-  return std::max(this->Routes->Version(), this->Upstreams->Version());
+  return std::max(this->Routes->LastChangeVersion(),
+                  this->Upstreams->LastChangeVersion());
 }
 
-std::uint64_t gsTableSync::Calls() const
+std::uint64_t gsTableSync::CallCount() const
 {
-  return this->Routes->Calls() + this->Upstreams->Calls();
+  return this->Routes->CallCount() + this->Upstreams->CallCount();
 }
 
-void gsTableSync::Hear(std::string const& host, std::uint64_t link,
-                       gradescale::Frame const& frame)
+void gsTableSync::ReceiveFrame(std::string const& host, std::uint64_t link,
+                               gradescale::Frame const& frame)
 {
-  this->HearForms(host, frame);
-  this->HearVersions(host, frame);
-  this->HearNews(host, frame);
+  this->ReceiveRowFormat(host, frame);
+  this->ReceiveVersions(host, frame);
+  this->ReceiveUpdates(host, frame);
   this->AnswerQueries(link, frame);
 }
 
 void gsTableSync::Tick(gsTime now)
 {
-  this->DecideDuty(now);
-  this->ReadIfNotTold(now);
-  this->PushPending(now);
-  this->AskBehind(now);
-  this->MendDiffering(this->Adapter.Tables.Routes, now);
-  this->MendDiffering(this->Adapter.Tables.Upstreams, now);
+  this->UpdateWatchState(now);
+  this->StartIfDue(now);
+  this->PushDeferredUpdates(now);
+  this->QueryNewerPeers(now);
+  this->RepairIfDivergent(this->Adapter.Tables.Routes, now);
+  this->RepairIfDivergent(this->Adapter.Tables.Upstreams, now);
 }
 
 void gsTableSync::OnStalled()
 {
-  this->Duty.Heard.clear();
+  this->Duty.Reports.clear();
   if (this->Upstreams->IsLarge()) {
-    // Coordinators show within half a second what was missed.
+    // Reading a large table is costly, and the headers of coordinators show
+    // within half a second which changes were missed.
     return;
   }
   for (gsTableWatch* watch : { this->Routes.get(), this->Upstreams.get() }) {
@@ -181,11 +197,11 @@
   this->Duty.State = gsWatchState::Uncovered;
 }
 
-bool gsTableSync::CaughtUpSince(gsTime time) const
+bool gsTableSync::IsCurrentSince(gsTime time) const
 {
-  gsTime platform =
-    std::min(this->Routes->LastAnswer(), this->Upstreams->LastAnswer());
-  return platform >= time || this->EqualAt >= time + QueuedFrames;
+  gsTime platform = std::min(this->Routes->LastResponseTime(),
+                             this->Upstreams->LastResponseTime());
+  return platform >= time || this->LastEqualAt >= time + QueuedFrameTime;
 }
 
 gsTableWatch* gsTableSync::WatchOf(std::string_view table)
@@ -197,47 +213,49 @@
                                                  : nullptr;
 }
 
-gsTableSync::Mending& gsTableSync::MendingOf(std::string_view table)
+gsTableSync::RepairState& gsTableSync::RepairStateOf(std::string_view table)
 {
-  return table == this->Adapter.Tables.Routes ? this->RoutesMending
-                                              : this->UpstreamsMending;
+  return table == this->Adapter.Tables.Routes ? this->RoutesRepair
+                                              : this->UpstreamsRepair;
 }
 
-void gsTableSync::HearNews(std::string const& host,
-                           gradescale::Frame const& frame)
+void gsTableSync::ReceiveUpdates(std::string const& host,
+                                 gradescale::Frame const& frame)
 {
   bool sameHall =
     gsHallOf(this->Cluster->Members(), host) == this->Settings.Hall;
   gsTime now = gsLoop::Now();
   if (sameHall && frame.tables_age_ms() > 0) {
-    gsDutyHear(this->Duty, host, gsMilliseconds(frame.tables_age_ms()), false,
-               now);
+    gsApplyWatcherReport(this->Duty, host,
+                         gsMilliseconds(frame.tables_age_ms()), false, now);
   } else if (sameHall && frame.heard_tables_age_ms() > 0) {
-    gsDutyHear(this->Duty, host, gsMilliseconds(frame.heard_tables_age_ms()),
-               true, now);
+    gsApplyWatcherReport(this->Duty, host,
+                         gsMilliseconds(frame.heard_tables_age_ms()), true,
+                         now);
   }
-  for (gradescale::TableNews const& news : frame.table_news()) {
-    this->LearnNews(host, news);
+  for (gradescale::TableNews const& update : frame.table_news()) {
+    this->ApplyUpdate(host, update);
   }
 }
 
-void gsTableSync::LearnNews(std::string const& host,
-                            gradescale::TableNews const& wire)
+void gsTableSync::ApplyUpdate(std::string const& host,
+                              gradescale::TableNews const& wire)
 {
   gsTableWatch* watch = this->WatchOf(wire.table());
   if (watch == nullptr) {
     return;
   }
   if (wire.too_large()) {
-    // A host of an older release names large changes without telling them.
-    this->AskFor(host, wire.table());
+    // Hosts of older releases announce large updates without their rows.
+    this->QueryChanges(host, wire.table());
     return;
   }
-  gsLearned::Lack lack = watch->Take(gsReadNews(wire), host);
-  if (lack == gsLearned::Lack::Changes) {
-    this->AskFor(host, wire.table());
-  } else if (lack == gsLearned::Lack::Rows) {
-    this->Mend(wire.table(), wire.version());
+  gsTableUpdateResult::Action action =
+    watch->ApplyUpdate(gsParseTableUpdate(wire), host);
+  if (action == gsTableUpdateResult::Action::QueryChanges) {
+    this->QueryChanges(host, wire.table());
+  } else if (action == gsTableUpdateResult::Action::Repair) {
+    this->Repair(wire.table(), wire.version());
   }
 }
 
@@ -247,40 +265,42 @@
   for (gradescale::TableQuery const& query : frame.table_queries()) {
     gsTableWatch const* watch = this->WatchOf(query.table());
     if (watch != nullptr && query.differs_at() != 0) {
-      this->AnswerDiffering(link, query, ReadsOf(frame));
+      this->AnswerRepairQuery(link, query, CommonRowFormat(frame));
       continue;
     }
     gradescale::Frame* answer =
       watch != nullptr ? this->Cluster->OnLink(link) : nullptr;
-    if (answer != nullptr && watch->Known()) {
-      this->AddNews(*answer, query.table(),
-                    watch->NewsAbove(query.above_version()), ReadsOf(frame));
+    if (answer != nullptr && watch->IsInitialized()) {
+      this->AddUpdate(*answer, query.table(),
+                      watch->UpdateSince(query.above_version()),
+                      CommonRowFormat(frame));
     }
   }
 }
 
 /**
- * Answers a host whose rows differ from another's. Only rows that were read
- * from the platform since settle which of them is right; before that there is
- * no answer, and the host asks again.
+ * Answers a host whose replica diverges from that of another host. Only a read
+ * of the platform after the divergence decides which of them is right. Until
+ * there is one, the query is not answered and the host repeats it.
  */
-void gsTableSync::AnswerDiffering(std::uint64_t link,
-                                  gradescale::TableQuery const& query,
-                                  gsRowForm reads)
+void gsTableSync::AnswerRepairQuery(std::uint64_t link,
+                                    gradescale::TableQuery const& query,
+                                    gsRowFormat newestReadable)
 {
-  if (!this->Watches()) {
+  if (!this->IsWatching()) {
     return;
   }
   gsTableWatch const& watch = *this->WatchOf(query.table());
-  std::uint64_t read = watch.ReadSince(gsLoop::Now() - gsTableMendGap);
-  if (read < query.differs_at()) {
-    this->ReadAgain(query.table());
+  std::uint64_t readVersion =
+    watch.SnapshotVersionSince(gsLoop::Now() - gsTableRepairInterval);
+  if (readVersion < query.differs_at()) {
+    this->RereadTable(query.table());
     return;
   }
-  gsTableNews news = watch.NewsAbove(0);
-  news.ReadVersion = read;
+  gsTableUpdate update = watch.UpdateSince(0);
+  update.ReadVersion = readVersion;
   if (gradescale::Frame* answer = this->Cluster->OnLink(link)) {
-    this->AddNews(*answer, query.table(), std::move(news), reads);
+    this->AddUpdate(*answer, query.table(), std::move(update), newestReadable);
   }
 }
 
@@ -289,14 +309,16 @@
   return gsHallPeers(this->Cluster->Members(), gsLoop::Now());
 }
 
-/** Those who are told of news at once: the hosts of the hall, and of what is
- * small the coordinators of all others, whose own watch may be silent. These
- * see in a heartbeat that they lack the rest, and ask for it then. */
-std::vector<std::string> gsTableSync::ToTell(gsTableNews const& news) const
+/** The hosts that receive an update unrequested: the hosts of this hall and,
+ * if the update is small, the coordinators of all other halls, whose own watch
+ * may be unresponsive. Those learn from heartbeats that they lack larger
+ * updates, and query them. */
+std::vector<std::string> gsTableSync::PushReceivers(
+  gsTableUpdate const& update) const
 {
   gsTime now = gsLoop::Now();
   std::vector<std::string> hosts = this->HallHosts();
-  if (news.Rows.size() > FarRowsMost) {
+  if (update.Rows.size() > MaxRowsToOtherHalls) {
     return hosts;
   }
   std::vector<std::string> others =
@@ -305,233 +327,248 @@
   return hosts;
 }
 
-/** Tells what has changed, or lets Tick do so when others were told a short
- * while ago. */
-void gsTableSync::OfferNews(gsTableWatch& watch, Pushed& pushed)
+/** Sends changes, or leaves that to Tick if less than MinPushInterval has
+ * passed since the last update. */
+void gsTableSync::PushOrDeferUpdate(gsTableWatch& watch, PushState& push)
 {
-  if (gsLoop::Now() - pushed.At >= PushGap) {
-    this->PushNews(watch, pushed);
+  if (gsLoop::Now() - push.PushedAt >= MinPushInterval) {
+    this->PushUpdate(watch, push);
   } else {
-    pushed.Pending = true;
+    push.IsPending = true;
   }
 }
 
-void gsTableSync::PushPending(gsTime now)
+void gsTableSync::PushDeferredUpdates(gsTime now)
 {
-  if (this->RoutesPushed.Pending && now - this->RoutesPushed.At >= PushGap) {
-    this->PushNews(*this->Routes, this->RoutesPushed);
+  if (this->RoutesPush.IsPending &&
+      now - this->RoutesPush.PushedAt >= MinPushInterval) {
+    this->PushUpdate(*this->Routes, this->RoutesPush);
   }
-  if (this->UpstreamsPushed.Pending &&
-      now - this->UpstreamsPushed.At >= PushGap) {
-    this->PushNews(*this->Upstreams, this->UpstreamsPushed);
+  if (this->UpstreamsPush.IsPending &&
+      now - this->UpstreamsPush.PushedAt >= MinPushInterval) {
+    this->PushUpdate(*this->Upstreams, this->UpstreamsPush);
   }
 }
 
-/** Notes which forms of rows a host reads; each frame says it. */
-void gsTableSync::HearForms(std::string const& host,
-                            gradescale::Frame const& frame)
+/** Records the newest row format that a host can parse, which each of its
+ * frames contains. */
+void gsTableSync::ReceiveRowFormat(std::string const& host,
+                                   gradescale::Frame const& frame)
 {
-  Shown& shown = this->Peers[host];
-  shown.Reads = ReadsOf(frame);
-  bool older = shown.Reads < gsRowFormRead;
-  if (std::exchange(shown.OlderForm, older) != older) {
+  PeerState& peer = this->Peers[host];
+  peer.RowFormat = CommonRowFormat(frame);
+  bool readsOlderFormat = peer.RowFormat < gsNewestRowFormat;
+  if (std::exchange(peer.ReadsOlderFormat, readsOlderFormat) !=
+      readsOlderFormat) {
     gsLogLine("peer_reads_rows")
       .With("peer", host)
       .With("form", frame.reads_row_form())
-      .With("own_form", static_cast<std::uint32_t>(gsRowFormRead));
+      .With("own_form", static_cast<std::uint32_t>(gsNewestRowFormat));
   }
 }
 
-/** Adds news in a form that the receiver reads. */
-void gsTableSync::AddNews(gradescale::Frame& frame, std::string const& table,
-                          gsTableNews news, gsRowForm reads) const
+/** Adds an update to a frame, in a row format that the receiver can parse. */
+void gsTableSync::AddUpdate(gradescale::Frame& frame, std::string const& table,
+                            gsTableUpdate update,
+                            gsRowFormat newestReadable) const
 {
   bool upstreams = table == this->Adapter.Tables.Upstreams;
-  gsAddNews(frame, table,
-            upstreams ? gsNewsInForm(std::move(news), reads, this->Adapter)
-                      : std::move(news));
+  gsAddTableUpdate(
+    frame, table,
+    upstreams
+      ? gsConvertTableUpdate(std::move(update), newestReadable, this->Adapter)
+      : std::move(update));
 }
 
-/** Tells what has changed since it was last told. */
-void gsTableSync::PushNews(gsTableWatch& watch, Pushed& pushed)
+/** Sends the changes since the last update, if this host watches. */
+void gsTableSync::PushUpdate(gsTableWatch& watch, PushState& push)
 {
-  gsTableNews news = watch.TellAbove(pushed.Version);
-  pushed.Version = watch.CompleteTo();
-  pushed.Pending = false;
-  if (!this->Watches() || news.Rows.empty()) {
+  gsTableUpdate update = watch.TakeUpdateSince(push.Version);
+  push.Version = watch.CompleteVersion();
+  push.IsPending = false;
+  if (!this->IsWatching() || update.Rows.empty()) {
     return;
   }
-  pushed.At = gsLoop::Now();
-  for (std::string const& host : this->ToTell(news)) {
-    // Large changes too: told by one host of the hall they cost its link some
-    // megabytes, read by each host for itself the platform some gigabytes.
+  push.PushedAt = gsLoop::Now();
+  for (std::string const& host : this->PushReceivers(update)) {
+    // Large updates are sent as well. From one host of the hall they take some
+    // megabytes on its link; if each host read them itself, the platform would
+    // have to send some gigabytes.
     if (gradescale::Frame* frame = this->Cluster->ToHost(host)) {
-      this->AddNews(*frame, pushed.Table, news, this->Peers[host].Reads);
+      this->AddUpdate(*frame, push.Table, update, this->Peers[host].RowFormat);
     }
   }
 }
 
 void gsTableSync::FillHeader(gradescale::Frame& frame) const
 {
-  frame.set_reads_row_form(static_cast<std::uint32_t>(gsRowFormRead));
+  frame.set_reads_row_form(static_cast<std::uint32_t>(gsNewestRowFormat));
   frame.set_tables_age_ms(this->TablesAge());
-  frame.set_heard_tables_age_ms(this->HeardTablesAge());
-  gsFillTables(frame, this->Routes->Check(), this->Upstreams->Check());
+  frame.set_heard_tables_age_ms(this->ForwardedTablesAge());
+  gsFillTableDigests(frame, this->Routes->Digest(), this->Upstreams->Digest());
 }
 
-/** Time since both tables were last known to be up to date, for frames; zero
- * if this host does not watch, or knows no better than by another's news. */
+/** Time since both tables were last confirmed by this host's own watch, as
+ * sent in frames; zero if this host does not watch, or if another watcher's
+ * report is more recent. */
 std::uint32_t gsTableSync::TablesAge() const
 {
-  gsTime answered =
-    std::min(this->Routes->LastAnswer(), this->Upstreams->LastAnswer());
+  gsTime answered = std::min(this->Routes->LastResponseTime(),
+                             this->Upstreams->LastResponseTime());
   if (this->Duty.State == gsWatchState::Covered || answered.count() == 0 ||
-      answered < gsDutyWatchedAt(this->Duty)) {
+      answered < gsWatchedTablesCurrentAt(this->Duty)) {
     return 0;
   }
-  return AgeForFrames(answered);
+  return FrameAge(answered);
 }
 
-/** The same by the news of another host of the hall that watches. */
-std::uint32_t gsTableSync::HeardTablesAge() const
+/** Time since both tables were last confirmed by another watcher of the hall,
+ * as sent in frames; zero if there is no report of one. */
+std::uint32_t gsTableSync::ForwardedTablesAge() const
 {
-  gsTime watched = gsDutyWatchedAt(this->Duty);
-  return watched.count() == 0 ? 0 : AgeForFrames(watched);
+  gsTime watched = gsWatchedTablesCurrentAt(this->Duty);
+  return watched.count() == 0 ? 0 : FrameAge(watched);
 }
 
-/** Begins or ends watching the platform, and tells the hall of it. */
-void gsTableSync::DecideDuty(gsTime now)
+/** Starts or stops watching the platform, and sends the hall heartbeats while
+ * watching. */
+void gsTableSync::UpdateWatchState(gsTime now)
 {
   gsWatchState before = this->Duty.State;
   std::size_t size = gsHallSize(this->Cluster->Members(), now);
-  gsWatchState state = gsDutyDecide(
+  gsWatchState state = gsUpdateWatchState(
     this->Duty, gsHallWatchOrder(this->Cluster->Members(), now), size, now);
   if (state != before) {
     gsLogLine("watch_duty")
-      .With("state", gsWatchStateWord(state))
-      .With("before", gsWatchStateWord(before))
+      .With("state", gsWatchStateName(state))
+      .With("before", gsWatchStateName(before))
       .With("hall_hosts", std::uint64_t(size));
   }
   for (gsTableWatch* watch : { this->Routes.get(), this->Upstreams.get() }) {
     if (state != before && state == gsWatchState::Covered) {
       watch->Pause();
     } else if (state != gsWatchState::Covered) {
-      watch->Resume(gsDutyFreshAt(this->Duty));
+      watch->Resume(gsTablesCurrentAt(this->Duty));
     }
   }
-  if (state != gsWatchState::Covered && now - this->LastBeat >= BeatPeriod) {
-    this->LastBeat = now;
+  if (state != gsWatchState::Covered &&
+      now - this->LastHeartbeatAt >= HeartbeatInterval) {
+    this->LastHeartbeatAt = now;
     for (std::string const& host : this->HallHosts()) {
-      this->Cluster->ToHost(host); // The header alone says what is needed.
+      this->Cluster->ToHost(host); // The header alone carries the state.
     }
   }
 }
 
-bool gsTableSync::IsBehind(Shown const& shown) const
+bool gsTableSync::IsBehind(PeerState const& peer) const
 {
-  return shown.Routes > this->Routes->CompleteTo() ||
-         shown.Upstreams > this->Upstreams->CompleteTo();
+  return peer.RoutesVersion > this->Routes->CompleteVersion() ||
+         peer.UpstreamsVersion > this->Upstreams->CompleteVersion();
 }
 
-void gsTableSync::HearVersions(std::string const& host,
-                               gradescale::Frame const& frame)
+void gsTableSync::ReceiveVersions(std::string const& host,
+                                  gradescale::Frame const& frame)
 {
-  std::optional<gsTablesTold> told = gsReadTables(frame);
-  if (!told) {
+  std::optional<gsTablesHeader> header = gsParseTableDigests(frame);
+  if (!header) {
     return;
   }
-  if (told->Counts == gsCountsRead::Unreadable) {
-    ++this->Unreadable;
+  if (header->DigestFields == gsDigestFields::Malformed) {
+    ++this->MalformedHeaders;
     return;
   }
-  this->Routes->Align(told->Routes.Version);
-  this->Upstreams->Align(told->Upstreams.Version);
-  Shown& shown = this->Peers[host];
-  shown.Routes = told->Routes.Version;
-  shown.Upstreams = told->Upstreams.Version;
-  this->HearCounts(host, *told, shown);
-  if (!this->IsBehind(shown)) {
-    shown.BehindSince = gsTime{};
+  this->Routes->RaiseLastChange(header->Routes.Version);
+  this->Upstreams->RaiseLastChange(header->Upstreams.Version);
+  PeerState& peer = this->Peers[host];
+  peer.RoutesVersion = header->Routes.Version;
+  peer.UpstreamsVersion = header->Upstreams.Version;
+  this->CompareDigests(host, *header, peer);
+  if (!this->IsBehind(peer)) {
+    peer.BehindSince = gsTime{};
     bool sameHall =
       gsHallOf(this->Cluster->Members(), host) == this->Settings.Hall;
-    this->EqualAt = sameHall ? gsLoop::Now() : this->EqualAt;
-  } else if (shown.BehindSince.count() == 0) {
-    shown.BehindSince = gsLoop::Now();
+    this->LastEqualAt = sameHall ? gsLoop::Now() : this->LastEqualAt;
+  } else if (peer.BehindSince.count() == 0) {
+    peer.BehindSince = gsLoop::Now();
   }
 }
 
-/** Compares rows. A host of an older release tells none, and is believed. */
-void gsTableSync::HearCounts(std::string const& host, gsTablesTold const& told,
-                             Shown& shown)
+/** Compares the digests of another host with this host's. A host of an older
+ * release sends none, and its replicas are assumed to be equal. */
+void gsTableSync::CompareDigests(std::string const& host,
+                                 gsTablesHeader const& header, PeerState& peer)
 {
-  if (told.Counts == gsCountsRead::Told) {
+  if (header.DigestFields == gsDigestFields::Present) {
     gsTime now = gsLoop::Now();
-    gsCheckHear(this->RoutesMending.Check, host, told.Routes,
-                this->Routes->Check(), now);
-    gsCheckHear(this->UpstreamsMending.Check, host, told.Upstreams,
-                this->Upstreams->Check(), now);
-  } else if (!shown.Uncounted) {
-    shown.Uncounted = true;
+    gsCompareTableDigests(this->RoutesRepair.DivergenceCheck, host,
+                          header.Routes, this->Routes->Digest(), now);
+    gsCompareTableDigests(this->UpstreamsRepair.DivergenceCheck, host,
+                          header.Upstreams, this->Upstreams->Digest(), now);
+  } else if (!peer.LacksDigests) {
+    peer.LacksDigests = true;
     gsLogLine("table_counts_missing").With("from", host);
   }
 }
 
-/** Mends rows that have differed from another host's for a while. */
-void gsTableSync::MendDiffering(std::string const& table, gsTime now)
+/** Repairs a replica that has diverged from another host's for the
+ * confirmation delay. */
+void gsTableSync::RepairIfDivergent(std::string const& table, gsTime now)
 {
-  gsRowsCheck own = this->WatchOf(table)->Check();
-  std::optional<gsTableDifference> differs =
-    gsCheckDue(this->MendingOf(table).Check, own, now);
-  if (!differs) {
+  gsTableDigest own = this->WatchOf(table)->Digest();
+  std::optional<gsTableDivergence> divergence =
+    gsTakeDueDivergence(this->RepairStateOf(table).DivergenceCheck, own, now);
+  if (!divergence) {
     return;
   }
-  ++this->Differed;
+  ++this->DivergencesFound;
   gsLogLine("table_differs", gsLogLevel::Warn)
     .With("table", table)
-    .With("peer", differs->Host)
+    .With("peer", divergence->Host)
     .With("version", own.Version)
-    .With("rows", own.Rows - 1)
-    .With("peer_rows", differs->Theirs.Rows - 1)
-    .With("watches", this->Watches());
-  this->Mend(table, own.Version);
+    .With("rows", own.RowsPlusOne - 1)
+    .With("peer_rows", divergence->RemoteDigest.RowsPlusOne - 1)
+    .With("watches", this->IsWatching());
+  this->Repair(table, own.Version);
 }
 
-/** Goes by the platform, read by this host or by one of its hall. */
-void gsTableSync::Mend(std::string const& table, std::uint64_t version)
+/** Repairs a replica from a read of the platform, made by this host if it
+ * watches, or else by a watching host of the hall. */
+void gsTableSync::Repair(std::string const& table, std::uint64_t version)
 {
-  if (this->Watches()) {
-    this->ReadAgain(table);
+  if (this->IsWatching()) {
+    this->RereadTable(table);
   } else {
-    this->AskWatcher(table, version);
+    this->QueryWatcher(table, version);
   }
 }
 
-void gsTableSync::ReadAgain(std::string const& table)
+void gsTableSync::RereadTable(std::string const& table)
 {
   gsTime now = gsLoop::Now();
-  Mending& mending = this->MendingOf(table);
-  bool early =
-    mending.Read.count() != 0 && now - mending.Read < gsTableMendGap;
-  if (!early) {
-    mending.Read = now;
+  RepairState& repair = this->RepairStateOf(table);
+  bool isTooEarly = repair.LastReadAt.count() != 0 &&
+                    now - repair.LastReadAt < gsTableRepairInterval;
+  if (!isTooEarly) {
+    repair.LastReadAt = now;
     this->WatchOf(table)->Refresh("differs");
   }
 }
 
-/** Asks a host of the hall that watches for all rows. */
-void gsTableSync::AskWatcher(std::string const& table, std::uint64_t version)
+/** Queries all rows from a watching host of the hall. */
+void gsTableSync::QueryWatcher(std::string const& table, std::uint64_t version)
 {
   gsTime now = gsLoop::Now();
-  Mending& mending = this->MendingOf(table);
-  if (now - mending.Asked < mending.Check.Settings.GapFirst) {
+  RepairState& repair = this->RepairStateOf(table);
+  if (now - repair.LastQueryAt <
+      repair.DivergenceCheck.Settings.MinRepairInterval) {
     return;
   }
-  for (auto const& [host, heard] : this->Duty.Heard) {
-    bool watches =
-      !heard.PassedOn && now - heard.At <= this->Duty.Settings.Patience;
+  for (auto const& [host, report] : this->Duty.Reports) {
+    bool watches = !report.IsForwarded && now - report.ReceivedAt <=
+                                            this->Duty.Settings.WatcherTimeout;
     gradescale::Frame* frame = watches ? this->Cluster->ToHost(host) : nullptr;
     if (frame != nullptr) {
-      mending.Asked = now;
+      repair.LastQueryAt = now;
       gradescale::TableQuery* query = frame->add_table_queries();
       query->set_table(table);
       query->set_differs_at(version);
@@ -540,41 +577,45 @@
   }
 }
 
-void gsTableSync::AskFor(std::string const& host, std::string const& table)
+/** Queries the changes that a replica lacks, if the limiter allows it. */
+void gsTableSync::QueryChanges(std::string const& host,
+                               std::string const& table)
 {
-  bool known = this->WatchOf(table)->Known();
-  if (!gsMayAsk(this->MendingOf(table).Lacking, known, gsLoop::Now())) {
+  bool known = this->WatchOf(table)->IsInitialized();
+  if (!gsAllowTableQuery(this->RepairStateOf(table).QueryLimiter, known,
+                         gsLoop::Now())) {
     return;
   }
   if (gradescale::Frame* frame = this->Cluster->ToHost(host)) {
     gradescale::TableQuery* query = frame->add_table_queries();
     query->set_table(table);
-    query->set_above_version(this->WatchOf(table)->CompleteTo());
+    query->set_above_version(this->WatchOf(table)->CompleteVersion());
   }
 }
 
 /**
- * Asks hosts that have had newer rows for a while; one for each table, since
- * several would send the same.
+ * Queries missing changes from hosts that have had them for PeerQueryDelay.
+ * Only one host is queried per table, since several would send the same rows.
  */
-void gsTableSync::AskBehind(gsTime now)
+void gsTableSync::QueryNewerPeers(gsTime now)
 {
   bool askedRoutes = false;
   bool askedUpstreams = false;
-  for (auto& [host, shown] : this->Peers) {
-    bool due = shown.BehindSince.count() != 0 &&
-               now - shown.BehindSince >= BehindPatience;
-    if (!due) {
+  for (auto& [host, peer] : this->Peers) {
+    bool isDue = peer.BehindSince.count() != 0 &&
+                 now - peer.BehindSince >= PeerQueryDelay;
+    if (!isDue) {
       continue;
     }
-    shown.BehindSince = this->IsBehind(shown) ? now : gsTime{};
-    if (!askedRoutes && shown.Routes > this->Routes->CompleteTo()) {
+    peer.BehindSince = this->IsBehind(peer) ? now : gsTime{};
+    if (!askedRoutes && peer.RoutesVersion > this->Routes->CompleteVersion()) {
       askedRoutes = true;
-      this->AskFor(host, this->Adapter.Tables.Routes);
+      this->QueryChanges(host, this->Adapter.Tables.Routes);
     }
-    if (!askedUpstreams && shown.Upstreams > this->Upstreams->CompleteTo()) {
+    if (!askedUpstreams &&
+        peer.UpstreamsVersion > this->Upstreams->CompleteVersion()) {
       askedUpstreams = true;
-      this->AskFor(host, this->Adapter.Tables.Upstreams);
+      this->QueryChanges(host, this->Adapter.Tables.Upstreams);
     }
   }
 }
--- a/Source/Daemon/gsTableSync.h
+++ b/Source/Daemon/gsTableSync.h
@@ -1,10 +1,11 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * Keeps a host's copies of the platform's tables up: watches them when it is
- * this host's duty, tells the hall what has changed, learns from other hosts
- * and asks them for what it has missed, and mends copies that differ from
- * another host's.
+ * Synchronises a host's replicas of the platform's tables. It watches the
+ * tables at the platform while gsWatchDuty assigns that to this host, sends
+ * changes to other hosts, applies changes received from them, queries changes
+ * that it has missed, and repairs replicas that diverge from those of another
+ * host.
  */
 #pragma once
 
@@ -15,138 +16,161 @@
 #include <vector>
 
 #include "gsAdapter.h"
+#include "gsDivergenceCheck.h"
 #include "gsHallCluster.h"
 #include "gsHttpClient.h"
-#include "gsRowForms.h"
+#include "gsRowFormat.h"
 #include "gsSettings.h"
-#include "gsTableCheck.h"
 #include "gsTableWatch.h"
 #include "gsTableWire.h"
 #include "gsWatchDuty.h"
 
+/** Callbacks to the owner of a gsTableSync. */
 struct gsTableSyncEvents
 {
-  std::function<void()> OnRoutes;    ///< The table of routes has changed.
-  std::function<void()> OnUpstreams; ///< The table of upstreams has changed.
+  /** Called when the replica of the table of routes has changed. */
+  std::function<void()> OnRoutesChanged;
+  /** Called when the replica of the table of upstreams has changed. */
+  std::function<void()> OnUpstreamsChanged;
 };
 
-/** How each of the tables is watched. */
-gsTableWatchSettings gsRoutesWatch(gsSettings const& settings,
-                                   gsAdapter const& adapter);
-gsTableWatchSettings gsUpstreamsWatch(gsSettings const& settings,
-                                      gsAdapter const& adapter);
+/** Settings for watching the table of routes. */
+gsTableWatchSettings gsRoutesWatchSettings(gsSettings const& settings,
+                                           gsAdapter const& adapter);
+/** Settings for watching the table of upstreams. */
+gsTableWatchSettings gsUpstreamsWatchSettings(gsSettings const& settings,
+                                              gsAdapter const& adapter);
 
 /**
- * Between two reads of the platform that mend a copy which differs. A copy
- * that is wrong, whatever the cause, is so for no longer than a heartbeat
- * (1 s), the patience of the check (0.3 s), this, and the next ask (0.5 s),
- * while a host of the hall reaches the platform.
+ * Minimum interval between reads of the platform that repair a divergent
+ * replica. While a host of the hall can reach the platform, a wrong replica is
+ * repaired, whatever the cause, within the sum of a heartbeat interval (1 s),
+ * the confirmation delay of the check (0.3 s), this interval and the interval
+ * until the next query (0.5 s).
  */
-constexpr gsTime gsTableMendGap = gsSeconds(2);
+constexpr gsTime gsTableRepairInterval = gsSeconds(2);
 
 class gsTableSync
 {
 public:
-  /** The adapter and the settings outlive this. */
+  /** All referenced objects have to outlive this one. */
   gsTableSync(gsLoop& loop, gsHttpClient& client, gsAdapter const& adapter,
               gsSettings const& settings, gsTableSyncEvents events);
 
   /**
-   * Reads both tables; at a first start of all hosts only if no other host of
-   * the hall tells them soon. The cluster outlives this.
+   * Reads both tables. If the setting FirstStart says that all hosts start for
+   * the first time, it waits for other hosts of the hall to send the tables
+   * before it reads them.
+   * Has to be called before all other methods except FillHeader; the cluster
+   * has to outlive this object.
    */
   void Start(gsHallCluster& cluster);
 
-  /** Takes in what a frame of another host tells of the tables. */
-  void Hear(std::string const& host, std::uint64_t link,
-            gradescale::Frame const& frame);
-  /** Tells in a frame's header which changes this host has. */
+  /** Applies the table versions, digests and updates in a frame of another
+   * host, and answers its queries on the link. */
+  void ReceiveFrame(std::string const& host, std::uint64_t link,
+                    gradescale::Frame const& frame);
+  /** Adds the row format, the age and the digests of the tables to a frame's
+   * header. */
   void FillHeader(gradescale::Frame& frame) const;
 
-  /** To be run several times a second. */
+  /** Performs due work; to be called several times per second. */
   void Tick(gsTime now);
-  /** What was known before the process stood still may be out of date. */
+  /** To be called after the process was suspended, as the replicas may be out
+   * of date. */
   void OnStalled();
-  /** Whether the tables are known to be as new as the platform's, or as a
-   * neighbour's, since a time. */
-  bool CaughtUpSince(gsTime time) const;
+  /** Whether the replicas were found to be as new as the platform's tables, or
+   * as those of another host of the hall, at the given time or later. */
+  bool IsCurrentSince(gsTime time) const;
 
-  gsTableWatch const& RouteRows() const { return *this->Routes; }
-  gsTableWatch const& UpstreamRows() const { return *this->Upstreams; }
-  /** Keys of the upstreams' rows that have changed since the last call. */
-  std::vector<std::string> TakeTouched()
+  /** The replica of the table of routes. */
+  gsTableWatch const& RoutesTable() const { return *this->Routes; }
+  /** The replica of the table of upstreams. */
+  gsTableWatch const& UpstreamsTable() const { return *this->Upstreams; }
+  /** Returns and clears the keys of the upstreams' rows that have changed
+   * since the last call. */
+  std::vector<std::string> TakeChangedKeys()
   {
-    return this->Upstreams->TakeTouched();
+    return this->Upstreams->TakeChangedKeys();
   }
-  /** Of the last change of any table that this host has. */
-  std::uint64_t Version() const;
-  /** Made to the platform so far. */
-  std::uint64_t Calls() const;
-  /** Times that rows differed from another host's at one version. */
-  std::uint64_t Differences() const { return this->Differed; }
-  /** Headers whose counts of rows could not be read. */
-  std::uint64_t UnreadableCounts() const { return this->Unreadable; }
+  /** Version of the last change of any table that this host has. */
+  std::uint64_t LastChangeVersion() const;
+  /** Number of calls made to the platform. */
+  std::uint64_t CallCount() const;
+  /** Number of confirmed divergences from another host at the same version. */
+  std::uint64_t DivergenceCount() const { return this->DivergencesFound; }
+  /** Number of received headers with malformed digests. */
+  std::uint64_t MalformedHeaderCount() const { return this->MalformedHeaders; }
 
 private:
-  /** Last changes of the tables that another host has shown. */
-  struct Shown
+  /** State of another host according to its last frame. */
+  struct PeerState
   {
-    std::uint64_t Routes = 0;
-    std::uint64_t Upstreams = 0;
-    gsTime BehindSince{};   ///< Zero while this host has them all.
-    bool Uncounted = false; ///< It tells no counts, which was logged.
-    gsRowForm Reads = gsRowForm::Platform; ///< By its last frame.
-    bool OlderForm = false; ///< It reads less than this host, as was logged.
+    std::uint64_t RoutesVersion = 0;    ///< Last change that it has.
+    std::uint64_t UpstreamsVersion = 0; ///< Last change that it has.
+    /** Since when this host lacks changes that the other one has, or when it
+     * last queried them; zero while it lacks none. */
+    gsTime BehindSince{};
+    bool LacksDigests = false; ///< It sends no digests, which was logged.
+    /** Newest row format that both hosts can parse. */
+    gsRowFormat RowFormat = gsRowFormat::Platform;
+    /** It cannot parse the newest format of this host, which was logged. */
+    bool ReadsOlderFormat = false;
   };
 
-  /** What this host has told others of a table by itself. */
-  struct Pushed
+  /** State of the updates of a table that this host sends unrequested. */
+  struct PushState
   {
-    std::string Table;
-    std::uint64_t Version = 0; ///< Told up to it.
-    gsTime At{};
-    bool Pending = false; ///< There is more, to be told a little later.
+    std::string Table;         ///< Name of the table.
+    std::uint64_t Version = 0; ///< Changes up to it have been sent.
+    gsTime PushedAt{};         ///< When an update was last sent.
+    bool IsPending = false;    ///< Tick has to send further changes.
   };
 
-  /** How a table's difference from another host's is being mended. */
-  struct Mending
+  /** State of the repair of a table's replica. */
+  struct RepairState
   {
-    gsTableCheck Check;
-    gsTime Read{};     ///< Last from the platform, for a difference.
-    gsTime Asked{};    ///< Last of a host that watches.
-    gsAskPace Lacking; ///< Of any host, for what the copy lacks.
+    gsDivergenceCheck DivergenceCheck; ///< Hosts whose replicas diverge.
+    gsTime LastReadAt{};  ///< Last read of the platform for a repair.
+    gsTime LastQueryAt{}; ///< Last repair query to a watching host.
+    /** Limits queries for missing changes, to any host. */
+    gsTableQueryLimiter QueryLimiter;
   };
 
   gsTableWatch* WatchOf(std::string_view table);
-  Mending& MendingOf(std::string_view table);
-  bool Watches() const { return this->Duty.State != gsWatchState::Covered; }
-  void HearForms(std::string const& host, gradescale::Frame const& frame);
-  void AddNews(gradescale::Frame& frame, std::string const& table,
-               gsTableNews news, gsRowForm reads) const;
-  void HearVersions(std::string const& host, gradescale::Frame const& frame);
-  void HearNews(std::string const& host, gradescale::Frame const& frame);
-  void LearnNews(std::string const& host, gradescale::TableNews const& wire);
+  RepairState& RepairStateOf(std::string_view table);
+  bool IsWatching() const { return this->Duty.State != gsWatchState::Covered; }
+  void ReceiveRowFormat(std::string const& host,
+                        gradescale::Frame const& frame);
+  void AddUpdate(gradescale::Frame& frame, std::string const& table,
+                 gsTableUpdate update, gsRowFormat newestReadable) const;
+  void ReceiveVersions(std::string const& host,
+                       gradescale::Frame const& frame);
+  void ReceiveUpdates(std::string const& host, gradescale::Frame const& frame);
+  void ApplyUpdate(std::string const& host, gradescale::TableNews const& wire);
   void AnswerQueries(std::uint64_t link, gradescale::Frame const& frame);
-  void AnswerDiffering(std::uint64_t link, gradescale::TableQuery const& query,
-                       gsRowForm reads);
-  void HearCounts(std::string const& host, gsTablesTold const& told,
-                  Shown& shown);
-  void MendDiffering(std::string const& table, gsTime now);
-  void Mend(std::string const& table, std::uint64_t version);
-  void ReadAgain(std::string const& table);
-  void AskWatcher(std::string const& table, std::uint64_t version);
-  void OfferNews(gsTableWatch& watch, Pushed& pushed);
-  void PushNews(gsTableWatch& watch, Pushed& pushed);
-  void PushPending(gsTime now);
-  void DecideDuty(gsTime now);
-  void ReadIfNotTold(gsTime now);
+  void AnswerRepairQuery(std::uint64_t link,
+                         gradescale::TableQuery const& query,
+                         gsRowFormat newestReadable);
+  void CompareDigests(std::string const& host, gsTablesHeader const& header,
+                      PeerState& peer);
+  void RepairIfDivergent(std::string const& table, gsTime now);
+  void Repair(std::string const& table, std::uint64_t version);
+  void RereadTable(std::string const& table);
+  void QueryWatcher(std::string const& table, std::uint64_t version);
+  void PushOrDeferUpdate(gsTableWatch& watch, PushState& push);
+  void PushUpdate(gsTableWatch& watch, PushState& push);
+  void PushDeferredUpdates(gsTime now);
+  void UpdateWatchState(gsTime now);
+  void StartIfDue(gsTime now);
   std::uint32_t TablesAge() const;
-  std::uint32_t HeardTablesAge() const;
+  std::uint32_t ForwardedTablesAge() const;
   std::vector<std::string> HallHosts() const;
-  std::vector<std::string> ToTell(gsTableNews const& news) const;
-  bool IsBehind(Shown const& shown) const;
-  void AskFor(std::string const& host, std::string const& table);
-  void AskBehind(gsTime now);
+  std::vector<std::string> PushReceivers(gsTableUpdate const& update) const;
+  /** Whether this host lacks changes that another one has. */
+  bool IsBehind(PeerState const& peer) const;
+  void QueryChanges(std::string const& host, std::string const& table);
+  void QueryNewerPeers(gsTime now);
 
   gsAdapter const& Adapter;
   gsSettings const& Settings;
@@ -154,16 +178,20 @@
   gsHallCluster* Cluster = nullptr; ///< Set by Start.
   std::unique_ptr<gsTableWatch> Routes;
   std::unique_ptr<gsTableWatch> Upstreams;
-  gsWatchDuty Duty;
-  Pushed RoutesPushed;
-  Pushed UpstreamsPushed;
-  Mending RoutesMending;
-  Mending UpstreamsMending;
-  std::uint64_t Differed = 0;
-  std::uint64_t Unreadable = 0;
-  bool Started = false; ///< Tables are read, or were told by another host.
-  gsTime LastBeat{};    ///< Of a watcher to its hall.
-  /** When a host of the hall last showed no change that this one lacks. */
-  gsTime EqualAt{};
-  std::unordered_map<std::string, Shown> Peers;
+  gsWatchDuty Duty; ///< Decides whether this host watches the platform.
+  PushState RoutesPush;
+  PushState UpstreamsPush;
+  RepairState RoutesRepair;
+  RepairState UpstreamsRepair;
+  std::uint64_t DivergencesFound = 0;
+  std::uint64_t MalformedHeaders = 0;
+  /** The tables are being read, were received from another host, or are
+   * watched. */
+  bool HasStarted = false;
+  /** When this host, as a watcher, last sent a heartbeat to its hall. */
+  gsTime LastHeartbeatAt{};
+  /** When this host last received a header from a host of its hall that has no
+   * changes which this host lacks. */
+  gsTime LastEqualAt{};
+  std::unordered_map<std::string, PeerState> Peers; ///< By host.
 };
--- a/Source/Daemon/gsTableWatch.cxx
+++ b/Source/Daemon/gsTableWatch.cxx
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr gsTime ReadPatience = gsMilliseconds(800);
-constexpr gsTime ConnectPatience = gsMilliseconds(400);
+constexpr gsTime ReadTimeout = gsMilliseconds(800);
+constexpr gsTime ConnectTimeout = gsMilliseconds(400);
 
 } // namespace
 
@@ -21,44 +21,45 @@
   , Client(client)
   , Adapter(adapter)
   , Settings(std::move(settings))
-  , Changed(std::move(onChange))
-  , Retry(loop, [this] { this->Again(); })
-  , Gathered(loop, [this] { this->Await(); })
-  , Settled(loop, [this] { this->Refresh("returns_over"); })
+  , OnChange(std::move(onChange))
+  , RetryTimer(loop, [this] { this->RetryCall(); })
+  , BatchTimer(loop, [this] { this->StartWatch(); })
+  , ReturnTimer(loop, [this] { this->Refresh("returns_over"); })
 {
 }
 
 gsTableWatch::~gsTableWatch()
 {
-  if (this->Call != 0) {
-    this->Client.Cancel(this->Call);
+  if (this->PendingCall != 0) {
+    this->Client.Cancel(this->PendingCall);
   }
 }
 
 void gsTableWatch::Start()
 {
-  this->Paused = true;
+  this->IsPaused = true;
   this->Read({});
 }
 
 void gsTableWatch::Pause()
 {
-  this->Paused = true;
+  this->IsPaused = true;
   this->StopTimers();
-  if (this->Call != 0) {
-    this->Client.Cancel(std::exchange(this->Call, 0));
+  if (this->PendingCall != 0) {
+    this->Client.Cancel(std::exchange(this->PendingCall, 0));
   }
 }
 
-void gsTableWatch::Resume(gsTime keptUp)
+void gsTableWatch::Resume(gsTime currentAt)
 {
-  if (this->Paused) {
-    this->Paused = false;
-    this->KeptUp = std::max(this->KeptUp, keptUp);
-    if (this->Known()) {
-      // A change of the duty is no doubt: the copy goes on from where it is.
+  if (this->IsPaused) {
+    this->IsPaused = false;
+    this->LastCurrentAt = std::max(this->LastCurrentAt, currentAt);
+    if (this->IsInitialized()) {
+      // A change of the watch state does not put the copy in doubt, so that
+      // watching continues from its version.
       this->StopTimers();
-      this->Await();
+      this->StartWatch();
     } else {
       this->Refresh("resumed");
     }
@@ -67,235 +68,244 @@
 
 void gsTableWatch::ReadOnce()
 {
-  if (this->Paused && this->Call == 0) {
+  if (this->IsPaused && this->PendingCall == 0) {
     this->StopTimers();
     this->Read({});
   }
 }
 
-/** Tries again after a call that brought nothing. */
-void gsTableWatch::Again()
+/** Makes the next call after one that failed. */
+void gsTableWatch::RetryCall()
 {
-  if (this->IsLarge() && !this->Paused) {
-    this->Await();
-  } else if (!this->Reading.empty()) {
-    // Pages that came are kept: a read of many calls begins anew for none.
-    this->Read(this->Reading.back().Key + '\0');
+  if (this->IsLarge() && !this->IsPaused) {
+    this->StartWatch();
+  } else if (!this->ReadRows.empty()) {
+    // Received pages are kept, so that one failed call does not restart a
+    // read of many pages.
+    this->Read(this->ReadRows.back().Key + '\0');
   } else {
     this->Read({});
   }
 }
 
-/** Stops what would begin the next call. */
+/** Stops the timers that start the next call. */
 void gsTableWatch::StopTimers()
 {
-  this->Retry.Stop();
-  this->Gathered.Stop();
+  this->RetryTimer.Stop();
+  this->BatchTimer.Stop();
 }
 
 void gsTableWatch::Refresh(char const* cause)
 {
   gsLogLine("table_refresh")
-    .With("table", this->Settings.Table)
-    .With("version", this->Version())
+    .With("table", this->Settings.TableName)
+    .With("version", this->LastChangeVersion())
     .With("cause", cause);
-  if (this->Call != 0) {
-    this->Client.Cancel(std::exchange(this->Call, 0));
+  if (this->PendingCall != 0) {
+    this->Client.Cancel(std::exchange(this->PendingCall, 0));
   }
   this->StopTimers();
   this->Read({});
 }
 
-void gsTableWatch::Make(gsCall call,
-                        void (gsTableWatch::*done)(gsAnswer const&))
+void gsTableWatch::StartCall(gsCall call,
+                             void (gsTableWatch::*done)(gsAnswer const&))
 {
-  ++this->Made;
-  call.ConnectTimeout = ConnectPatience;
-  call.UserTimeout = ReadPatience;
+  ++this->CallsMade;
+  call.ConnectTimeout = ConnectTimeout;
+  call.UserTimeout = ReadTimeout;
   call.Reuse = true;
-  this->Call =
-    gsFetch(this->Client, std::move(call), [this, done](gsAnswer const& got) {
-      this->Call = 0;
-      (this->*done)(got);
-    });
+  this->PendingCall = gsFetch(this->Client, std::move(call),
+                              [this, done](gsAnswer const& answer) {
+                                this->PendingCall = 0;
+                                (this->*done)(answer);
+                              });
 }
 
 void gsTableWatch::Read(std::string const& fromKey)
 {
   if (fromKey.empty()) {
-    this->Reading.clear();
+    this->ReadRows.clear();
   }
-  gsCall call = this->Adapter.ReadTable(this->Settings.Platform,
-                                        this->Settings.Table, fromKey);
-  call.TotalTimeout = ReadPatience;
-  this->Make(std::move(call), &gsTableWatch::OnRead);
+  gsCall call = this->Adapter.MakeReadCall(this->Settings.PlatformAddress,
+                                           this->Settings.TableName, fromKey);
+  call.TotalTimeout = ReadTimeout;
+  this->StartCall(std::move(call), &gsTableWatch::OnReadCompleted);
 }
 
-void gsTableWatch::OnRead(gsAnswer const& answer)
+void gsTableWatch::OnReadCompleted(gsAnswer const& answer)
 {
-  gsTableAnswer read = this->Adapter.ReadPage(answer);
-  if (!read.Page) {
-    this->RetryLater(read, "read");
+  gsTableReadResult result = this->Adapter.ParseTableResponse(answer);
+  if (!result.Page) {
+    this->ScheduleRetry(result, "read");
     return;
   }
-  gsTablePage& page = *read.Page;
-  if (this->Reading.empty()) {
-    this->ReadVersion = page.Version;
+  gsTablePage& page = *result.Page;
+  if (this->ReadRows.empty()) {
+    this->ReadRowsVersion = page.Version;
   }
   for (gsTableRow& row : page.Rows) {
-    this->Reading.push_back(std::move(row));
+    this->ReadRows.push_back(std::move(row));
   }
-  if (page.More && !this->Reading.empty()) {
-    this->Read(this->Reading.back().Key + '\0');
+  if (page.HasMore && !this->ReadRows.empty()) {
+    this->Read(this->ReadRows.back().Key + '\0');
     return;
   }
-  if (this->ReadVersion < this->Copy.Seen) {
-    // An old state: what is known here is newer.
-    this->Reading.clear();
-    this->RetryLater({ {}, gsTableFault::TurnedAway, "An old state." },
-                     "read");
+  if (this->ReadRowsVersion < this->Replica.ReceivedVersion) {
+    // The platform returned an old state; this copy is newer.
+    this->ReadRows.clear();
+    this->ScheduleRetry({ {}, gsTableReadError::Rejected, "An old state." },
+                        "read");
     return;
   }
-  this->NoteAnswered();
-  this->FinishRead(this->ReadVersion);
+  this->RecordResponse();
+  this->FinishRead(this->ReadRowsVersion);
 }
 
 void gsTableWatch::FinishRead(std::uint64_t version)
 {
   gsTime now = gsLoop::Now();
-  bool wasKnown = this->Known();
-  bool changed = gsCopyTakeAll(this->Copy, this->Reading, version,
-                               this->AwaitsReturns(), now);
-  this->Reading.clear();
-  this->WholeVersion = version;
-  this->WholeAt = now;
-  if (changed || !wasKnown) {
-    this->Changed();
+  bool wasInitialized = this->IsInitialized();
+  bool changed =
+    gsTableReplicaApplySnapshot(this->Replica, this->ReadRows, version,
+                                this->IsInReturnGracePeriod(), now);
+  this->ReadRows.clear();
+  this->SnapshotVersion = version;
+  this->SnapshotAt = now;
+  if (changed || !wasInitialized) {
+    this->OnChange();
   }
-  this->Await();
+  this->StartWatch();
 }
 
-void gsTableWatch::Await()
+void gsTableWatch::StartWatch()
 {
-  gsCopyForget(this->Copy, this->Settings.RemovedMemory, gsLoop::Now());
-  if (this->Paused) {
+  gsTableReplicaPurgeTombstones(
+    this->Replica, this->Settings.TombstoneRetention, gsLoop::Now());
+  if (this->IsPaused) {
     return;
   }
-  gsCall call =
-    this->Adapter.WatchTable(this->Settings.Platform, this->Settings.Table,
-                             this->Copy.Seen, this->Settings.Wait);
-  call.TotalTimeout = this->Settings.Wait + this->Settings.Patience;
-  this->Make(std::move(call), &gsTableWatch::OnAwaited);
+  gsCall call = this->Adapter.MakeWatchCall(
+    this->Settings.PlatformAddress, this->Settings.TableName,
+    this->Replica.ReceivedVersion, this->Settings.WatchWait);
+  call.TotalTimeout = this->Settings.WatchWait + this->Settings.ResponseMargin;
+  this->StartCall(std::move(call), &gsTableWatch::OnWatchCompleted);
 }
 
-void gsTableWatch::OnAwaited(gsAnswer const& answer)
+void gsTableWatch::OnWatchCompleted(gsAnswer const& answer)
 {
-  gsTableAnswer read = this->Adapter.ReadPage(answer);
-  if (!read.Page) {
-    if (read.Fault == gsTableFault::HistoryGone) {
+  gsTableReadResult result = this->Adapter.ParseTableResponse(answer);
+  if (!result.Page) {
+    if (result.Error == gsTableReadError::HistoryExpired) {
       gsLogLine("table_history_gone", gsLogLevel::Warn)
-        .With("table", this->Settings.Table)
-        .With("version", this->Version());
+        .With("table", this->Settings.TableName)
+        .With("version", this->LastChangeVersion());
       this->Read({});
       return;
     }
-    this->RetryLater(read, "watch");
+    this->ScheduleRetry(result, "watch");
     return;
   }
-  this->NoteAnswered();
-  bool changed =
-    gsCopyTakePage(this->Copy, read.Page->Rows, read.Page->Version,
-                   this->AwaitsReturns(), gsLoop::Now());
+  this->RecordResponse();
+  bool changed = gsTableReplicaApplyPage(
+    this->Replica, result.Page->Rows, result.Page->Version,
+    this->IsInReturnGracePeriod(), gsLoop::Now());
   if (changed) {
-    this->Changed();
+    this->OnChange();
   }
-  if (read.Page->Rows.empty()) {
-    this->Await();
+  if (result.Page->Rows.empty()) {
+    this->StartWatch();
   } else {
-    this->Gathered.Once(this->Settings.Gather);
+    this->BatchTimer.Once(this->Settings.BatchDelay);
   }
 }
 
-void gsTableWatch::NoteAnswered()
+void gsTableWatch::RecordResponse()
 {
   gsTime now = gsLoop::Now();
-  bool wasAway = this->Silent && this->KeptUp.count() != 0 &&
-                 now - this->KeptUp > this->Settings.AwayAfter;
-  if (wasAway && this->Settings.ReturnPatience.count() > 0) {
-    this->ReturnsUntil = now + this->Settings.ReturnPatience;
-    this->Settled.Once(this->Settings.ReturnPatience);
+  bool wasUnavailable =
+    this->IsUnresponsive && this->LastCurrentAt.count() != 0 &&
+    now - this->LastCurrentAt > this->Settings.OutageThreshold;
+  if (wasUnavailable && this->Settings.ReturnGracePeriod.count() > 0) {
+    this->ReturnGraceUntil = now + this->Settings.ReturnGracePeriod;
+    this->ReturnTimer.Once(this->Settings.ReturnGracePeriod);
   }
-  this->Answered = now;
-  this->KeptUp = now;
-  this->Delay = gsTime{};
-  if (this->Silent) {
-    this->Silent = false;
+  this->LastResponseAt = now;
+  this->LastCurrentAt = now;
+  this->RetryDelay = gsTime{};
+  if (this->IsUnresponsive) {
+    this->IsUnresponsive = false;
     gsLogLine("table_regained")
-      .With("table", this->Settings.Table)
-      .With("version", this->Version());
+      .With("table", this->Settings.TableName)
+      .With("version", this->LastChangeVersion());
   }
 }
 
-/** Whether rows that are missing may still come back. */
-bool gsTableWatch::AwaitsReturns() const
+/** Whether removals are deferred, as missing rows may still return. */
+bool gsTableWatch::IsInReturnGracePeriod() const
 {
-  return gsLoop::Now() < this->ReturnsUntil;
+  return gsLoop::Now() < this->ReturnGraceUntil;
 }
 
-/** After any doubt the whole table is read, not only what follows. */
-void gsTableWatch::RetryLater(gsTableAnswer const& answer, char const* step)
+/** Schedules the next call after a failed one; see RetryCall. */
+void gsTableWatch::ScheduleRetry(gsTableReadResult const& answer,
+                                 char const* step)
 {
-  if (!this->Silent) {
-    this->Silent = true;
+  if (!this->IsUnresponsive) {
+    this->IsUnresponsive = true;
     gsLogLine("table_lost", gsLogLevel::Warn)
-      .With("table", this->Settings.Table)
+      .With("table", this->Settings.TableName)
       .With("step", step)
-      .With("peer", this->Settings.Platform)
-      .With("version", this->Version())
+      .With("peer", this->Settings.PlatformAddress)
+      .With("version", this->LastChangeVersion())
       .With("message", answer.Detail);
   }
-  this->Delay = std::clamp(this->Delay * 2, this->Settings.RetryFirst,
-                           this->Settings.RetryMost);
-  this->Retry.Once(this->Delay);
+  this->RetryDelay =
+    std::clamp(this->RetryDelay * 2, this->Settings.InitialRetryDelay,
+               this->Settings.MaxRetryDelay);
+  this->RetryTimer.Once(this->RetryDelay);
 }
 
-bool gsTableWatch::Learn(gsTableNews const& news, std::string_view peer)
+bool gsTableWatch::TryApplyUpdate(gsTableUpdate const& update,
+                                  std::string_view peer)
 {
-  return this->Take(news, peer) == gsLearned::Lack::Nothing;
+  return this->ApplyUpdate(update, peer) == gsTableUpdateResult::Action::None;
 }
 
-gsLearned::Lack gsTableWatch::Take(gsTableNews const& news,
-                                   std::string_view peer)
+gsTableUpdateResult::Action gsTableWatch::ApplyUpdate(
+  gsTableUpdate const& update, std::string_view peer)
 {
-  gsLearned learned = gsCopyLearn(this->Copy, news, gsLoop::Now());
-  bool complete = learned.Lacks == gsLearned::Lack::Nothing;
-  if (complete && this->Known() && this->Paused) {
-    this->Retry.Stop();
+  gsTableUpdateResult result =
+    gsTableReplicaApplyUpdate(this->Replica, update, gsLoop::Now());
+  bool complete = result.NextAction == gsTableUpdateResult::Action::None;
+  if (complete && this->IsInitialized() && this->IsPaused) {
+    this->RetryTimer.Stop();
   }
-  if (learned.Changed) {
+  if (result.Changed) {
     gsLogLine("table_learned")
-      .With("table", this->Settings.Table)
+      .With("table", this->Settings.TableName)
       .With("from", peer)
-      .With("rows", std::uint64_t(news.Rows.size()))
-      .With("version", this->Version())
+      .With("rows", std::uint64_t(update.Rows.size()))
+      .With("version", this->LastChangeVersion())
       .With("complete", complete);
-    this->Changed();
+    this->OnChange();
   }
-  return learned.Lacks;
+  return result.NextAction;
 }
 
-gsTableNews gsTableWatch::NewsAbove(std::uint64_t version) const
+gsTableUpdate gsTableWatch::UpdateSince(std::uint64_t version) const
 {
-  return gsCopyNewsAbove(this->Copy, version);
+  return gsTableReplicaUpdateSince(this->Replica, version);
 }
 
-gsTableNews gsTableWatch::TellAbove(std::uint64_t version)
+gsTableUpdate gsTableWatch::TakeUpdateSince(std::uint64_t version)
 {
-  return gsCopyTellAbove(this->Copy, version);
+  return gsTableReplicaTakeUpdateSince(this->Replica, version);
 }
 
-std::uint64_t gsTableWatch::ReadSince(gsTime since) const
+std::uint64_t gsTableWatch::SnapshotVersionSince(gsTime since) const
 {
-  bool read = this->WholeAt.count() != 0 && this->WholeAt >= since;
-  return read ? std::min(this->WholeVersion, this->CompleteTo()) : 0;
+  bool isRecent = this->SnapshotAt.count() != 0 && this->SnapshotAt >= since;
+  return isRecent ? std::min(this->SnapshotVersion, this->CompleteVersion())
+                  : 0;
 }
--- a/Source/Daemon/gsTableWatch.h
+++ b/Source/Daemon/gsTableWatch.h
@@ -1,10 +1,11 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * A copy of one of the platform's tables, kept by watching it. The platform
- * may be silent, slow or forgetful, may answer with an old state, and may
- * turn this host away while it serves others; then other hosts' words, given
- * with Learn, keep the copy up. A row never goes back to a lower version.
+ * A replica of one of the platform's tables, updated by watching the table
+ * with long-poll calls. The platform may be unresponsive or slow, may lose its
+ * history, may return an old state, and may reject this host while it serves
+ * others. Meanwhile, updates from other hosts, applied with ApplyUpdate, keep
+ * the replica current. A row never returns to a lower version.
  */
 #pragma once
 
@@ -17,43 +18,46 @@
 #include "gsAdapter.h"
 #include "gsHttpClient.h"
 #include "gsLoop.h"
-#include "gsTableCopy.h"
+#include "gsTableReplica.h"
 #include "gsTypes.h"
 
 struct gsTableWatchSettings
 {
-  std::string Platform; ///< IP:port.
-  std::string Table;
-  gsTime Wait = gsMilliseconds(2000); ///< That a watch may be held.
-  /** An answer later than the wait and this much is not waited for. */
-  gsTime Patience = gsMilliseconds(600);
-  gsTime RetryFirst = gsMilliseconds(100);
-  gsTime RetryMost = gsMilliseconds(500);
-  /** After changes the next watch waits so long, to bring several at once. */
-  gsTime Gather = gsMilliseconds(150);
-  /** Removed rows are remembered so long, to be told to other hosts. */
-  gsTime RemovedMemory = gsSeconds(60);
+  std::string PlatformAddress; ///< Address as IP:port.
+  std::string TableName;       ///< Name of the table.
+  /** Time for which the platform may hold a watch call if nothing changes. */
+  gsTime WatchWait = gsMilliseconds(2000);
+  /** Time after WatchWait, after which a watch call times out. */
+  gsTime ResponseMargin = gsMilliseconds(600);
+  gsTime InitialRetryDelay = gsMilliseconds(100); ///< Doubled with each retry.
+  gsTime MaxRetryDelay = gsMilliseconds(500);
+  /** Delay of the next watch call after changes, so that it returns several
+   * changes at once. */
+  gsTime BatchDelay = gsMilliseconds(150);
+  /** Removed rows are kept for this long, to be sent to other hosts. */
+  gsTime TombstoneRetention = gsSeconds(60);
   /**
-   * After calls without an answer, and so long since the copy was last known
-   * to be up to date, rows may have lapsed because the platform was away,
-   * though what they tell of lives. Time in which nobody asked is no silence.
+   * The platform counts as having been unavailable if calls have failed and
+   * the replica has not been known to be current for this long. Rows may then
+   * have expired although the upstreams that they describe are alive. Time in
+   * which no call was made does not count as an outage by itself.
    */
-  gsTime AwayAfter = gsMilliseconds(2900);
-  /** Such rows have so long after the platform's return to come back; zero
-   * for a table whose rows do not lapse. */
-  gsTime ReturnPatience = gsSeconds(2);
+  gsTime OutageThreshold = gsMilliseconds(2900);
+  /** Time after an outage for which removals are deferred, so that expired
+   * rows can return; zero for a table whose rows do not expire. */
+  gsTime ReturnGracePeriod = gsSeconds(2);
   /**
-   * A table of more rows is read whole only where nothing else will do: it
-   * takes several calls and megabytes. A copy that is known goes on from where
-   * it is.
+   * Number of rows above which a table is read in full only if there is no
+   * alternative, since that takes several calls and megabytes. After a failed
+   * call, watching then continues from the replica's version.
    */
-  std::size_t LargeRows = 1000;
+  std::size_t LargeTableRows = 1000;
 };
 
 class gsTableWatch
 {
 public:
-  using Rows = gsTableCopy::Rows;
+  using Rows = gsTableReplica::Rows;
 
   gsTableWatch(gsLoop& loop, gsHttpClient& client, gsAdapter const& adapter,
                gsTableWatchSettings settings, std::function<void()> onChange);
@@ -61,99 +65,129 @@
   gsTableWatch(gsTableWatch const&) = delete;
   gsTableWatch& operator=(gsTableWatch const&) = delete;
 
-  /** Reads the whole table; it is watched from Resume on. */
+  /** Reads the whole table. Watching starts with Resume. */
   void Start();
 
-  /** Stops watching; the copy stays, and is kept up by Learn. */
+  /** Stops watching and cancels the pending call. The replica is kept, and can
+   * be updated with ApplyUpdate. */
   void Pause();
   /**
-   * Watches, after a read of the whole table. Other hosts have kept the copy
-   * up until the given time; zero if none has.
+   * Resumes watching if it is paused; reads the whole table first unless the
+   * replica is initialized.
+   *
+   * \param currentAt Last time at which updates of other hosts are known to
+   *   have kept the replica current; zero if there is none.
    */
-  void Resume(gsTime keptUp);
-  /** Reads the table once while watching is paused, unless a read is under
-   * way. */
+  void Resume(gsTime currentAt);
+  /** Reads the table once while watching is paused, unless a call is
+   * pending. */
   void ReadOnce();
 
-  /** Gives up the call under way and reads the whole table at once. */
+  /** Cancels the pending call and reads the whole table immediately. The cause
+   * is logged. */
   void Refresh(char const* cause);
 
   /**
-   * Takes rows that another host has read. False when changes between this
-   * copy and the news are missing: then they have to be asked for.
+   * Applies an update received from another host, as ApplyUpdate does.
+   * \return False if the caller has to take the action that ApplyUpdate
+   * returns.
    */
-  bool Learn(gsTableNews const& news, std::string_view peer);
-  /** The same, with what is to be asked for. */
-  gsLearned::Lack Take(gsTableNews const& news, std::string_view peer);
-  /** Another host's last change, of which this copy may have the rows. */
-  void Align(std::uint64_t version) { gsCopyAlign(this->Copy, version); }
+  bool TryApplyUpdate(gsTableUpdate const& update, std::string_view peer);
+  /** Applies an update received from another host. \return The action that the
+   * caller has to take, such as querying missing changes. */
+  gsTableUpdateResult::Action ApplyUpdate(gsTableUpdate const& update,
+                                          std::string_view peer);
+  /** Applies the version of the last change that another host has, as
+   * gsTableReplicaRaiseLastChange does. */
+  void RaiseLastChange(std::uint64_t version)
+  {
+    gsTableReplicaRaiseLastChange(this->Replica, version);
+  }
 
-  /** Rows that are there; removed ones are left out. */
-  Rows const& Present() const { return this->Copy.Live; }
-  /** Keys of the rows that have changed since the last call. */
-  std::vector<std::string> TakeTouched()
+  /** All rows, without removed ones. */
+  Rows const& LiveRows() const { return this->Replica.LiveRows; }
+  /** Returns and clears the keys of the rows that have changed since the last
+   * call. */
+  std::vector<std::string> TakeChangedKeys()
   {
-    return gsCopyTakeTouched(this->Copy);
+    return gsTableReplicaTakeChangedKeys(this->Replica);
   }
-  /** What another host lacks whose copy is complete up to a version. */
-  gsTableNews NewsAbove(std::uint64_t version) const;
-  /** What hosts lack that were told up to a version. */
-  gsTableNews TellAbove(std::uint64_t version);
+  /** Update for a host whose replica is complete up to a version. */
+  gsTableUpdate UpdateSince(std::uint64_t version) const;
+  /** Update for hosts that were sent all changes up to a version. It includes
+   * changes at or below that version that this host learned late; these are
+   * returned only once. */
+  gsTableUpdate TakeUpdateSince(std::uint64_t version);
 
-  /** Version of the last change that this copy is complete up to. */
-  std::uint64_t Version() const { return this->Copy.Highest; }
-  /** Version up to which this copy is complete; at least Version. */
-  std::uint64_t CompleteTo() const { return this->Copy.Complete; }
-  /** Of the rows at Version, to be compared with other hosts'. */
-  gsRowsCheck Check() const { return gsCopyCheck(this->Copy); }
+  /** Version of the last change within the complete part of the replica. */
+  std::uint64_t LastChangeVersion() const
+  {
+    return this->Replica.LastChangeVersion;
+  }
+  /** Version up to which the replica is complete; at least
+   * LastChangeVersion. */
+  std::uint64_t CompleteVersion() const
+  {
+    return this->Replica.CompleteVersion;
+  }
+  /** Digest of the rows at LastChangeVersion, to be compared with those of
+   * other hosts. */
+  gsTableDigest Digest() const { return gsTableReplicaDigest(this->Replica); }
   /**
-   * Up to which this copy is what a whole read of the platform found, if that
-   * ended no earlier than since; else zero.
+   * Version up to which the replica matches the last full read of the
+   * platform; zero if that read completed before the given time.
    */
-  std::uint64_t ReadSince(gsTime since) const;
-  /** Whether it is costly to read again. */
+  std::uint64_t SnapshotVersionSince(gsTime since) const;
+  /** Whether the table has more than LargeTableRows rows, so that reading it
+   * again is costly. */
   bool IsLarge() const
   {
-    return this->Known() && this->Copy.Live.size() > this->Settings.LargeRows;
+    return this->IsInitialized() &&
+           this->Replica.LiveRows.size() > this->Settings.LargeTableRows;
   }
-  /** Whether the table has been read, from the platform or another host. */
-  bool Known() const { return this->Copy.Filled; }
-  /** When the platform last answered; zero if never. */
-  gsTime LastAnswer() const { return this->Answered; }
-  std::uint64_t Calls() const { return this->Made; }
+  /** Whether the whole table was received once, from the platform or from
+   * another host. */
+  bool IsInitialized() const { return this->Replica.IsInitialized; }
+  /** When the platform last answered successfully; zero if never. */
+  gsTime LastResponseTime() const { return this->LastResponseAt; }
+  /** Number of calls made to the platform. */
+  std::uint64_t CallCount() const { return this->CallsMade; }
 
 private:
-  void Again();
+  void RetryCall();
   void Read(std::string const& fromKey);
-  void OnRead(gsAnswer const& answer);
+  void OnReadCompleted(gsAnswer const& answer);
   void FinishRead(std::uint64_t version);
-  void Await();
+  void StartWatch();
   void StopTimers();
-  void OnAwaited(gsAnswer const& answer);
-  void Make(gsCall call, void (gsTableWatch::*done)(gsAnswer const&));
-  void RetryLater(gsTableAnswer const& answer, char const* step);
-  void NoteAnswered();
-  bool AwaitsReturns() const;
+  void OnWatchCompleted(gsAnswer const& answer);
+  void StartCall(gsCall call, void (gsTableWatch::*done)(gsAnswer const&));
+  void ScheduleRetry(gsTableReadResult const& answer, char const* step);
+  void RecordResponse();
+  bool IsInReturnGracePeriod() const;
 
   gsLoop& Loop;
   gsHttpClient& Client;
   gsAdapter const& Adapter;
   gsTableWatchSettings Settings;
-  std::function<void()> Changed;
-  gsTimer Retry;
-  gsTimer Gathered; ///< Begins the watch that follows changes.
-  gsTimer Settled;  ///< Ends the time that lapsed rows have to come back.
-  gsTableCopy Copy;
-  std::vector<gsTableRow> Reading; ///< Pages of the read under way.
-  std::uint64_t ReadVersion = 0;   ///< Of the first page.
-  std::uint64_t WholeVersion = 0;  ///< Of the last read that ended,
-  gsTime WholeAt{};                ///< and when; zero for none.
-  std::uint64_t Call = 0;          ///< Under way; zero for none.
-  std::uint64_t Made = 0;
-  gsTime Answered{};
-  gsTime KeptUp{};       ///< Last time at which the copy was up to date.
-  gsTime ReturnsUntil{}; ///< No removal is taken from the platform until then.
-  gsTime Delay{};
-  bool Silent = false; ///< Calls have had no answer since the last one.
-  bool Paused = false; ///< Reads are not followed by a watch.
+  std::function<void()> OnChange;
+  gsTimer RetryTimer;
+  gsTimer BatchTimer; ///< Starts the next watch call after changes.
+  /** Reads the table at the end of the return grace period. */
+  gsTimer ReturnTimer;
+  gsTableReplica Replica;
+  /** Rows of the pages received so far of the current full read. */
+  std::vector<gsTableRow> ReadRows;
+  std::uint64_t ReadRowsVersion = 0; ///< Version of the first of these pages.
+  std::uint64_t SnapshotVersion = 0; ///< Version of the last full read.
+  gsTime SnapshotAt{}; ///< When the last full read completed; zero if never.
+  std::uint64_t PendingCall = 0; ///< Pending call; zero if there is none.
+  std::uint64_t CallsMade = 0;
+  gsTime LastResponseAt{}; ///< When the platform last answered; zero if never.
+  gsTime LastCurrentAt{};  ///< Last time at which the replica was current.
+  /** Removals reported by the platform are deferred until then. */
+  gsTime ReturnGraceUntil{};
+  gsTime RetryDelay{}; ///< Delay of the last retry; zero after a success.
+  bool IsUnresponsive = false; ///< Calls have failed since the last success.
+  bool IsPaused = false;       ///< A read is not followed by a watch call.
 };
--- a/Source/Daemon/gsTableWire.h
+++ b/Source/Daemon/gsTableWire.h
@@ -1,8 +1,8 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * The platform's tables in frames between hosts: news, and what a header says
- * of the rows.
+ * Encodes and decodes the platform's tables in frames between hosts: updates
+ * of a table, and the versions and digests of both tables in a frame's header.
  */
 #pragma once
 
@@ -10,22 +10,28 @@
 #include <string>
 
 #include "Generated/gsPeer.pb.h"
-#include "gsTableCheck.h"
-#include "gsTableCopy.h"
+#include "gsDivergenceCheck.h"
+#include "gsTableReplica.h"
 
-/** What a header says of both tables. */
-struct gsTablesTold
+/** Versions and digests of both tables, from a frame's header. */
+struct gsTablesHeader
 {
-  gsRowsCheck Routes;
-  gsRowsCheck Upstreams;
-  gsCountsRead Counts = gsCountsRead::None; ///< None: versions alone.
+  gsTableDigest Routes;
+  gsTableDigest Upstreams;
+  /** If absent, only the versions of Routes and Upstreams are valid; if
+   * malformed, nothing is. */
+  gsDigestFields DigestFields = gsDigestFields::Absent;
 };
 
-void gsAddNews(gradescale::Frame& frame, std::string const& table,
-               gsTableNews const& news);
-gsTableNews gsReadNews(gradescale::TableNews const& wire);
+/** Adds an update of a table to a frame. */
+void gsAddTableUpdate(gradescale::Frame& frame, std::string const& table,
+                      gsTableUpdate const& update);
+/** Decodes an update. */
+gsTableUpdate gsParseTableUpdate(gradescale::TableNews const& wire);
 
-void gsFillTables(gradescale::Frame& frame, gsRowsCheck const& routes,
-                  gsRowsCheck const& upstreams);
-/** Nothing if the header says nothing of tables. */
-std::optional<gsTablesTold> gsReadTables(gradescale::Frame const& frame);
+/** Sets the versions and digests in a frame's header. */
+void gsFillTableDigests(gradescale::Frame& frame, gsTableDigest const& routes,
+                        gsTableDigest const& upstreams);
+/** Decodes the versions and digests; empty if the header contains none. */
+std::optional<gsTablesHeader> gsParseTableDigests(
+  gradescale::Frame const& frame);
--- a/Source/Daemon/gsUpstreamCaller.cxx
+++ b/Source/Daemon/gsUpstreamCaller.cxx
@@ -10,36 +10,39 @@
 
 namespace {
 
-constexpr std::size_t MaxBuffered = 1U << 18U; ///< For a slow caller; bytes.
-/** Shorter prompts say little of how fast an upstream reads. */
+constexpr std::size_t MaxBuffered = 1U << 18U; ///< Bytes, for a slow caller.
+/** Shorter prompts are too inaccurate to measure the prompt processing speed.
+ */
 constexpr std::uint64_t MinMeasuredTokens = 2000;
 constexpr double RateSmoothing = 0.05;
-constexpr double LeastTokenMillis = 0.002;
-constexpr double MostTokenMillis = 1.0;
+constexpr double MinTokenMillis = 0.002;
+constexpr double MaxTokenMillis = 1.0;
 
-/** Follows the quantile below which FastShare of the values are. */
-double FollowFast(double fast, double value)
+/** Updates an estimate of the quantile below which fastShare of the values
+ * lie.
+ */
+double UpdateFastQuantile(double fast, double value)
 {
   constexpr double fastShare = 0.2;
   constexpr double step = 0.05;
   double factor =
     value < fast ? 1 - step * (1 - fastShare) : 1 + step * fastShare;
-  return std::clamp(fast * factor, LeastTokenMillis, MostTokenMillis);
+  return std::clamp(fast * factor, MinTokenMillis, MaxTokenMillis);
 }
 
-/** One line when an upstream says something new of itself: that it leaves, or
- * that it rests from now on. */
-void LogWord(gsRoutedRequest const& request, gsAttempt const& attempt)
+/** Logs a change that an upstream announces: that it is shutting down, or that
+ * it accepts no requests for a given time. */
+void LogAnnouncement(gsRoutedRequest const& request, gsAttempt const& attempt)
 {
-  gsUpstreamWord const& word = attempt.Head.Word;
+  gsUpstreamAnnouncement const& announcement = attempt.AnswerHead.Announcement;
   gsLogLine line("upstream_says");
-  line.With("request", request.Caller.Id)
+  line.With("request", request.Caller.AttemptId)
     .With("upstream", attempt.Upstream.Id)
-    .With("born", attempt.Upstream.Born)
+    .With("born", attempt.Upstream.StartedAt)
     .With("status", attempt.Status)
-    .With("leaving", word.Leaving);
-  if (word.Rest.count() > 0) {
-    line.With("rest_ms", word.Rest);
+    .With("leaving", announcement.Leaving);
+  if (announcement.RetryAfter.count() > 0) {
+    line.With("rest_ms", announcement.RetryAfter);
   }
 }
 
@@ -52,16 +55,16 @@
 
 } // namespace
 
-char const* gsAttemptEndWord(gsAttemptEnd end)
+char const* gsAttemptOutcomeName(gsAttemptOutcome end)
 {
   switch (end) {
-    case gsAttemptEnd::Whole:
+    case gsAttemptOutcome::Complete:
       return "whole";
-    case gsAttemptEnd::NotExecuted:
+    case gsAttemptOutcome::NotExecuted:
       return "not_executed";
-    case gsAttemptEnd::NotSent:
+    case gsAttemptOutcome::NotSent:
       return "not_sent";
-    case gsAttemptEnd::Broken:
+    case gsAttemptOutcome::Incomplete:
       break;
   }
   return "broken";
@@ -78,7 +81,7 @@
 
 bool gsRelaysEvents(gsRoutedRequest const& request, gsAttempt const& attempt)
 {
-  return request.Route->Events && IsSuccess(attempt.Status);
+  return request.Route->StreamsEvents && IsSuccess(attempt.Status);
 }
 
 gsUpstreamCaller::gsUpstreamCaller(gsHttpClient& client,
@@ -101,25 +104,26 @@
   auto attempt = std::make_shared<gsAttempt>();
   attempt->Upstream = gsIncarnationOf(row.Listed);
   attempt->Address = row.Listed.Address;
-  attempt->ReadTokens = placement.ReadTokens;
+  attempt->ReadTokens = placement.TokensToRead;
   attempt->MemoryTokens =
-    request->Caller.PromptTokens + request->Caller.AnswerTokens;
-  attempt->Wait = gsWaitAt(this->Fleet, row, placement.ReadTokens, now);
-  attempt->Started = now;
+    request->Caller.PromptTokens + request->Caller.MaxOutputTokens;
+  attempt->ExpectedWait =
+    gsExpectedWaitAt(this->Fleet, row, placement.TokensToRead, now);
+  attempt->StartedAt = now;
   attempt->LastByteAt = now;
-  if (request->LastEvent) {
-    attempt->Events.SkipThrough(*request->LastEvent);
+  if (request->LastEventId) {
+    attempt->EventSplitter.SkipThrough(*request->LastEventId);
   }
-  row.Own.Running += 1;
+  row.OwnLoad.OpenAttempts += 1;
   row.ColdSentAt = now < row.ColdUntil ? now : row.ColdSentAt;
-  attempt->Returns = gsNoteReturn(row.Heard, now);
+  attempt->IsResumption = gsBeginSlowStartAttempt(row.Announced, now);
   attempt->HasReservedToken =
     gsReserveToken(this->Fleet.RateLimits, row.Hash, now);
-  gsNoteWorking(this->Fleet, row);
-  row.Own.ReadTokens += attempt->ReadTokens;
-  row.Own.MemoryTokens += attempt->MemoryTokens;
+  gsMarkReportable(this->Fleet, row);
+  row.OwnLoad.PendingPromptTokens += attempt->ReadTokens;
+  row.OwnLoad.MemoryTokens += attempt->MemoryTokens;
   request->Attempt = attempt;
-  attempt->Call =
+  attempt->CallId =
     this->Client.Start(this->MakeCall(request, attempt, placement));
 }
 
@@ -130,27 +134,28 @@
   gsFleetRow const& row = *placement.Row;
   gsCallerRequest const& caller = request->Caller;
   gsTime until = std::min(request->DeadlineAt, request->TimeoutAt);
-  gsAttemptFacts facts;
+  gsAttemptMetadata facts;
   facts.UpstreamId = row.Listed.Id;
   facts.Organisation = request->Organisation;
-  facts.DeadlineLeft = until - gsLoop::Now();
+  facts.TimeToDeadline = until - gsLoop::Now();
   facts.Urgency = request->Priority;
-  facts.LastEvent = request->LastEvent;
-  if (placement.Holder != nullptr) {
-    facts.TakeFrom = placement.Holder->Listed.Address;
+  facts.LastEventId = request->LastEventId;
+  if (placement.TransferSource != nullptr) {
+    facts.TransferSource = placement.TransferSource->Listed.Address;
   }
 
   gsCall call;
   call.Method = caller.Method;
   call.Url = "http://" + row.Listed.Address + caller.Target;
-  call.Headers = this->Adapter.AttemptHeaders(caller, facts);
+  call.Headers = this->Adapter.MakeAttemptHeaders(caller, facts);
   call.Body = caller.Body;
   call.ConnectTimeout = this->Settings.ConnectTimeout;
   call.UserTimeout = this->Settings.UserTimeout;
   call.Reuse = true;
-  call.MaxIdle = row.KeepIdle;
+  call.MaxIdle = row.MaxConnectionIdle;
   if (row.RestartedAt.count() != 0) {
-    // Connections to the one before may be open without an other end.
+    // Connections to the incarnation before the restart may still be open on
+    // this side only.
     call.MaxAge = gsLoop::Now() - row.RestartedAt;
   }
   call.BareHeaders = true;
@@ -158,7 +163,7 @@
   std::weak_ptr<gsRoutedRequest> weak = request;
   call.BeforeSend = [this, weak, attempt] {
     gsRoutedRequestPtr held = weak.lock();
-    return held != nullptr && this->MaySend(*held, *attempt);
+    return held != nullptr && this->CanSend(*held, *attempt);
   };
   call.OnHeaders = [this, weak, attempt](unsigned status,
                                          gsHeaders const& headers) {
@@ -178,14 +183,18 @@
   return call;
 }
 
-/** The last look before the first byte: what was decided may be void. */
-bool gsUpstreamCaller::MaySend(gsRoutedRequest& request, gsAttempt& attempt)
+/** Checks just before the first byte whether the attempt is still valid,
+ * because the upstream, the deadline or the request may have changed since
+ * placement. */
+bool gsUpstreamCaller::CanSend(gsRoutedRequest& request, gsAttempt& attempt)
 {
   gsTime now = gsLoop::Now();
   gsFleetRow const* row = gsFleetFind(this->Fleet, attempt.Upstream);
-  bool isVoid = row == nullptr || !gsTakesWork(this->Fleet, *row, now);
-  bool late = now >= std::min(request.DeadlineAt, request.TimeoutAt);
-  if (request.Ended || isVoid || late || !this->Events.MaySend(request)) {
+  bool isUnavailable =
+    row == nullptr || !gsAcceptsRequests(this->Fleet, *row, now);
+  bool expired = now >= std::min(request.DeadlineAt, request.TimeoutAt);
+  if (request.HasEnded || isUnavailable || expired ||
+      !this->Events.CanSend(request)) {
     return false;
   }
   // Checked last, because it consumes the token.
@@ -195,69 +204,73 @@
   if (std::exchange(attempt.HasReservedToken, false)) {
     gsReleaseToken(this->Fleet.RateLimits, row->Hash);
   }
-  attempt.Sent = true;
+  attempt.MayHaveSentBytes = true;
   attempt.SentAt = now;
   attempt.LastByteAt = now;
-  ++request.Sends;
+  ++request.SentAttempts;
   return true;
 }
 
 /**
- * Takes in what an answer's head says of its upstream, whatever becomes of the
- * answer. It is the first word of it: the platform's row may say the same many
- * seconds later, and an upstream that was asked again in its rest has turned
- * urgent requests away that others would have taken.
+ * Applies what the headers of an answer announce about the upstream, also if
+ * the answer itself is rejected. The platform's row may contain the same only
+ * many seconds later. An upstream that received requests during its
+ * retry-after time rejected urgent ones that other upstreams would have
+ * accepted.
  */
-void gsUpstreamCaller::NoteHead(gsRoutedRequest const& request,
-                                gsAttempt& attempt, gsTime now)
+void gsUpstreamCaller::ApplyHead(gsRoutedRequest const& request,
+                                 gsAttempt& attempt, gsTime now)
 {
-  gsUpstreamWord const& word = attempt.Head.Word;
+  gsUpstreamAnnouncement const& announcement = attempt.AnswerHead.Announcement;
   gsFleetRow* row = gsFleetFind(this->Fleet, attempt.Upstream);
-  bool known = row != nullptr && gsIsLeaving(*row);
-  if (gsNoteWord(this->Fleet, attempt.Upstream, word, now)) {
-    LogWord(request, attempt);
+  bool wasLeaving = row != nullptr && gsIsLeaving(*row);
+  if (gsApplyAnnouncement(this->Fleet, attempt.Upstream, announcement, now)) {
+    LogAnnouncement(request, attempt);
   }
-  if (word.Leaving && row != nullptr && !known) {
+  if (announcement.Leaving && row != nullptr && !wasLeaving) {
     this->Events.OnLeaving(attempt.Upstream);
   }
-  this->NoteRateLimit(request, attempt, now);
-  if (row != nullptr && std::exchange(attempt.Returns, false)) {
-    bool taken = !attempt.Head.NotExecuted && word.Rest.count() == 0;
-    gsNoteReturned(row->Heard, taken, row->Listed.Slots);
+  this->ApplyRateLimit(request, attempt, now);
+  if (row != nullptr && std::exchange(attempt.IsResumption, false)) {
+    bool accepted =
+      !attempt.AnswerHead.NotExecuted && announcement.RetryAfter.count() == 0;
+    gsEndSlowStartAttempt(row->Announced, accepted, row->Listed.Slots);
   }
 }
 
-/** Applies the rate limit that an answer names, or its absence. */
-void gsUpstreamCaller::NoteRateLimit(gsRoutedRequest const& request,
-                                     gsAttempt const& attempt, gsTime now)
+/** Applies the rate limit that an answer states, or its absence. */
+void gsUpstreamCaller::ApplyRateLimit(gsRoutedRequest const& request,
+                                      gsAttempt const& attempt, gsTime now)
 {
-  gsUpstreamWord const& word = attempt.Head.Word;
-  bool concerns = word.RateLimit.has_value() || word.RateLimitUnreadable ||
-                  !this->Fleet.RateLimits.Upstreams.empty();
-  if (!concerns || attempt.Status == gsStatusMisdirected) {
+  gsUpstreamAnnouncement const& announcement = attempt.AnswerHead.Announcement;
+  bool isRelevant = announcement.RateLimit.has_value() ||
+                    announcement.IsRateLimitMalformed ||
+                    !this->Fleet.RateLimits.Upstreams.empty();
+  if (!isRelevant || attempt.Status == gsStatusMisdirected) {
     return;
   }
-  if (word.RateLimitUnreadable) {
+  if (announcement.IsRateLimitMalformed) {
     gsLogLine("rate_limit_unreadable", gsLogLevel::Warn)
-      .With("request", request.Caller.Id)
+      .With("request", request.Caller.AttemptId)
       .With("upstream", attempt.Upstream.Id);
     return;
   }
-  // An answer to another request may be older than this attempt.
-  bool isOwn = attempt.Head.RequestId == request.Caller.Id;
+  // The answer may be to another request that was sent before this attempt.
+  bool isOwn = attempt.AnswerHead.RequestId == request.Caller.AttemptId;
   std::uint32_t hash = gsIncarnationHash(attempt.Upstream);
-  if (!gsNoteRateLimit(this->Fleet.RateLimits, hash, word.RateLimit,
-                       isOwn ? attempt.SentAt : gsTime{}, now)) {
+  if (!gsApplyObservedRateLimit(this->Fleet.RateLimits, hash,
+                                announcement.RateLimit,
+                                isOwn ? attempt.SentAt : gsTime{}, now)) {
     return;
   }
   gsRateLimit const& limit = this->Fleet.RateLimits.Upstreams.at(hash).Limit;
   gsLogLine("rate_limit")
-    .With("request", request.Caller.Id)
+    .With("request", request.Caller.AttemptId)
     .With("upstream", attempt.Upstream.Id)
-    .With("born", attempt.Upstream.Born)
+    .With("born", attempt.Upstream.StartedAt)
     .With("status", attempt.Status)
-    .With("per_second", gsRateText(limit.Rate))
-    .With("ended", limit.Ended)
+    .With("per_second", gsFormatRate(limit.Rate))
+    .With("ended", limit.HasEnded)
     .With("version", limit.Version);
   this->Events.OnRateLimit();
 }
@@ -270,23 +283,25 @@
   gsTime now = gsLoop::Now();
   attempt.LastByteAt = now;
   attempt.Status = status;
-  attempt.Head = this->Adapter.ReadAnswer(status, headers);
-  this->NoteHead(*request, attempt, now);
-  if (attempt.Head.RequestId != request->Caller.Id) {
-    this->Break(request, held, "The upstream answered another request.");
+  attempt.AnswerHead = this->Adapter.ParseResponseHead(status, headers);
+  this->ApplyHead(*request, attempt, now);
+  if (attempt.AnswerHead.RequestId != request->Caller.AttemptId) {
+    this->AbortAttempt(request, held,
+                       "The upstream answered another request.");
     return;
   }
-  // Another upstream that has the address by now answers so.
+  // Status of another upstream that now uses the address.
   bool isOther = status == gsStatusMisdirected;
   gsFleetRow* row = gsFleetFind(this->Fleet, attempt.Upstream);
   if (row != nullptr && !isOther) {
-    gsNoteHeard(this->Fleet, *row, now);
-    if (attempt.Head.KeepIdle) {
-      row->KeepIdle = *attempt.Head.KeepIdle;
+    gsRecordReceived(this->Fleet, *row, now);
+    if (attempt.AnswerHead.MaxConnectionIdle) {
+      row->MaxConnectionIdle = *attempt.AnswerHead.MaxConnectionIdle;
     }
   }
-  if (IsSuccess(status) && !attempt.Head.Signed) {
-    this->Break(request, held, "The upstream's answer carries no signature.");
+  if (IsSuccess(status) && !attempt.AnswerHead.IsSigned) {
+    this->AbortAttempt(request, held,
+                       "The upstream's answer carries no signature.");
   }
 }
 
@@ -294,87 +309,90 @@
                               gsAttemptPtr const& held, std::string_view bytes)
 {
   gsAttempt& attempt = *held;
-  if (attempt.Call == 0) {
+  if (attempt.CallId == 0) {
     return true;
   }
   if (request->Exchange->Buffered() > MaxBuffered) {
-    request->CallerPaused = true;
+    request->IsCallerPaused = true;
     return false;
   }
   gsTime now = gsLoop::Now();
   attempt.LastByteAt = now;
   gsFleetRow* row = gsFleetFind(this->Fleet, attempt.Upstream);
   if (row != nullptr && attempt.Status != gsStatusMisdirected) {
-    gsNoteHeard(this->Fleet, *row, now);
+    gsRecordReceived(this->Fleet, *row, now);
   }
   if (attempt.FirstByteAt.count() == 0 && gsRelaysEvents(*request, attempt)) {
-    this->Events.OnBegan(request, now);
+    this->Events.OnExecutionStarted(request, now);
   }
-  this->NoteFirstByte(*request, attempt, now);
+  this->RecordFirstByte(*request, attempt, now);
   if (IsSuccess(attempt.Status)) {
-    this->Events.OnAnswering(request, held);
+    this->Events.OnBodyData(request, held);
   }
   if (gsRelaysEvents(*request, attempt)) {
-    this->TakeEvents(request, attempt, bytes, now);
+    this->RelayEvents(request, attempt, bytes, now);
     return true;
   }
-  attempt.Body.append(bytes);
-  if (attempt.Body.size() > this->Settings.MaxAnswer) {
-    this->Break(request, held, "The upstream's answer is over the limit.");
+  attempt.AnswerBody.append(bytes);
+  if (attempt.AnswerBody.size() > this->Settings.MaxAnswerBytes) {
+    this->AbortAttempt(request, held,
+                       "The upstream's answer is over the limit.");
   }
   return true;
 }
 
-/** Passes whole events on, and notes the pauses between them. */
-void gsUpstreamCaller::TakeEvents(gsRoutedRequestPtr const& request,
-                                  gsAttempt& attempt, std::string_view bytes,
-                                  gsTime now)
+/** Relays complete events and records the intervals between them. */
+void gsUpstreamCaller::RelayEvents(gsRoutedRequestPtr const& request,
+                                   gsAttempt& attempt, std::string_view bytes,
+                                   gsTime now)
 {
-  std::string events = attempt.Events.Feed(bytes);
+  std::string events = attempt.EventSplitter.Append(bytes);
   if (events.empty()) {
     return;
   }
   if (attempt.LastEventAt.count() != 0) {
-    gsTime pause = now - attempt.LastEventAt;
-    attempt.LongestGap = std::max(attempt.LongestGap, pause);
+    gsTime interval = now - attempt.LastEventAt;
+    attempt.MaxEventInterval = std::max(attempt.MaxEventInterval, interval);
     if (gsFleetRow* row = gsFleetFind(this->Fleet, attempt.Upstream)) {
-      gsNotePause(this->Fleet, *row, pause, now);
+      gsRecordEventInterval(this->Fleet, *row, interval, now);
     }
   }
   attempt.LastEventAt = now;
   this->Events.OnEvents(request, std::move(events));
 }
 
-/** A first byte says that the prompt has been read, and how fast. */
-void gsUpstreamCaller::NoteFirstByte(gsRoutedRequest const& request,
-                                     gsAttempt& attempt, gsTime now)
+/** Records the prompt processing time, which ends with the first byte. */
+void gsUpstreamCaller::RecordFirstByte(gsRoutedRequest const& request,
+                                       gsAttempt& attempt, gsTime now)
 {
   if (attempt.FirstByteAt.count() != 0) {
     return;
   }
   attempt.FirstByteAt = now;
-  if (attempt.Wait.ReadTokens >= MinMeasuredTokens) {
+  if (attempt.ExpectedWait.PendingPromptTokens >= MinMeasuredTokens) {
     double millis = gsToSeconds(now - attempt.SentAt) * 1e3;
-    double each = millis / static_cast<double>(attempt.Wait.ReadTokens);
-    this->TokenMillis += RateSmoothing * (each - this->TokenMillis);
+    double millisPerToken =
+      millis / static_cast<double>(attempt.ExpectedWait.PendingPromptTokens);
+    this->TokenMillis += RateSmoothing * (millisPerToken - this->TokenMillis);
     this->TokenMillis =
-      std::clamp(this->TokenMillis, LeastTokenMillis, MostTokenMillis);
-    this->FastTokenMillis = FollowFast(this->FastTokenMillis, each);
+      std::clamp(this->TokenMillis, MinTokenMillis, MaxTokenMillis);
+    this->FastTokenMillis =
+      UpdateFastQuantile(this->FastTokenMillis, millisPerToken);
   }
   if (gsFleetRow* row = gsFleetFind(this->Fleet, attempt.Upstream)) {
-    gsNoteReading(this->Fleet.Paces[row->Listed.Service], attempt.ReadTokens,
-                  now - attempt.SentAt);
-    row->Own.ReadTokens -=
-      std::min<std::uint64_t>(row->Own.ReadTokens, attempt.ReadTokens);
-    gsNoteParts(this->Fleet, *row, request.Caller.Parts, now);
+    gsRecordPromptTime(this->Fleet.EngineTimings[row->Listed.Service],
+                       attempt.ReadTokens, now - attempt.SentAt);
+    row->OwnLoad.PendingPromptTokens -= std::min<std::uint64_t>(
+      row->OwnLoad.PendingPromptTokens, attempt.ReadTokens);
+    gsRecordCachedParts(this->Fleet, *row, request.Caller.PromptParts, now);
   }
   attempt.ReadTokens = 0;
 }
 
-/** Takes the attempt's work out of the upstream's row. */
-void gsUpstreamCaller::Discharge(gsAttempt& attempt)
+/** Subtracts the attempt's work from the counts in the upstream's row. */
+void gsUpstreamCaller::ReleaseWork(gsAttempt& attempt)
 {
-  attempt.Call = 0;
+  attempt.CallId = 0;
   if (std::exchange(attempt.HasReservedToken, false)) {
     gsReleaseToken(this->Fleet.RateLimits,
                    gsIncarnationHash(attempt.Upstream));
@@ -383,32 +401,34 @@
   if (row == nullptr) {
     return;
   }
-  if (std::exchange(attempt.Returns, false)) {
-    gsNoteReturned(row->Heard, false, row->Listed.Slots);
+  if (std::exchange(attempt.IsResumption, false)) {
+    gsEndSlowStartAttempt(row->Announced, false, row->Listed.Slots);
   }
-  row->Own.Running -= std::min(row->Own.Running, 1U);
-  row->Own.ReadTokens -=
-    std::min<std::uint64_t>(row->Own.ReadTokens, attempt.ReadTokens);
-  row->Own.MemoryTokens -=
-    std::min<std::uint64_t>(row->Own.MemoryTokens, attempt.MemoryTokens);
+  row->OwnLoad.OpenAttempts -= std::min(row->OwnLoad.OpenAttempts, 1U);
+  row->OwnLoad.PendingPromptTokens -= std::min<std::uint64_t>(
+    row->OwnLoad.PendingPromptTokens, attempt.ReadTokens);
+  row->OwnLoad.MemoryTokens -=
+    std::min<std::uint64_t>(row->OwnLoad.MemoryTokens, attempt.MemoryTokens);
 }
 
-/** Ends an attempt whose answer cannot be used; the connection closes. */
-void gsUpstreamCaller::Break(gsRoutedRequestPtr const& request,
-                             gsAttemptPtr const& attempt, std::string detail)
+/** Ends an attempt whose answer cannot be used and closes its connection. */
+void gsUpstreamCaller::AbortAttempt(gsRoutedRequestPtr const& request,
+                                    gsAttemptPtr const& attempt,
+                                    std::string detail)
 {
-  this->Client.Cancel(std::exchange(attempt->Call, 0));
-  this->Finish(request, attempt,
-               { gsAttemptEnd::Broken, attempt->Status, std::move(detail) });
+  this->Client.Cancel(std::exchange(attempt->CallId, 0));
+  this->Finish(
+    request, attempt,
+    { gsAttemptOutcome::Incomplete, attempt->Status, std::move(detail) });
 }
 
 void gsUpstreamCaller::Cancel(gsAttempt& attempt)
 {
-  if (attempt.Call == 0) {
+  if (attempt.CallId == 0) {
     return;
   }
-  this->Client.Cancel(std::exchange(attempt.Call, 0));
-  this->Discharge(attempt);
+  this->Client.Cancel(std::exchange(attempt.CallId, 0));
+  this->ReleaseWork(attempt);
 }
 
 void gsUpstreamCaller::CancelAll(gsRoutedRequest& request)
@@ -420,11 +440,11 @@
   }
 }
 
-void gsUpstreamCaller::Unpause(gsRoutedRequest const& request)
+void gsUpstreamCaller::Resume(gsRoutedRequest const& request)
 {
   for (gsAttemptPtr const& attempt : { request.Attempt, request.Primary }) {
-    if (attempt != nullptr && attempt->Call != 0) {
-      this->Client.Unpause(attempt->Call);
+    if (attempt != nullptr && attempt->CallId != 0) {
+      this->Client.Unpause(attempt->CallId);
     }
   }
 }
@@ -436,25 +456,25 @@
   gsAttemptResult result;
   result.Status = attempt.Status;
   if (!end.Sent) {
-    result.End = gsAttemptEnd::NotSent;
+    result.Outcome = gsAttemptOutcome::NotSent;
     result.Detail = end.Refused ? "No connection to the upstream: " + end.Error
                                 : "The choice was void before it was used.";
     gsFleetRow* row = gsFleetFind(this->Fleet, attempt.Upstream);
     if (end.Refused && row != nullptr &&
-        gsNoteNoConnection(this->Fleet, *row, gsLoop::Now())) {
+        gsRecordConnectFailure(this->Fleet, *row, gsLoop::Now())) {
       gsLogLine("hall_unreachable", gsLogLevel::Warn)
         .With("hall", row->Listed.Hall)
         .With("upstream", row->Listed.Id);
     }
   } else if (!end.Whole) {
-    result.BrokeOff = !end.Stopped;
+    result.IsUpstreamLost = !end.Stopped;
     result.Detail = "The upstream's answer broke off: " + end.Error;
-  } else if (attempt.Head.NotExecuted) {
-    result.End = gsAttemptEnd::NotExecuted;
+  } else if (attempt.AnswerHead.NotExecuted) {
+    result.Outcome = gsAttemptOutcome::NotExecuted;
     result.Detail = "The upstream turned the request away with status " +
                     std::to_string(attempt.Status) + ".";
   } else {
-    result.End = gsAttemptEnd::Whole;
+    result.Outcome = gsAttemptOutcome::Complete;
   }
   this->Finish(request, held, result);
 }
@@ -464,24 +484,24 @@
                               gsAttemptResult const& result)
 {
   gsAttempt& attempt = *held;
-  this->Discharge(attempt);
+  this->ReleaseWork(attempt);
   gsTime now = gsLoop::Now();
   if (gsFleetRow* row = gsFleetFind(this->Fleet, attempt.Upstream)) {
     constexpr unsigned firstServerError = 500;
-    bool failed =
-      result.End == gsAttemptEnd::Broken ||
-      (result.End == gsAttemptEnd::Whole && result.Status >= firstServerError);
-    if (attempt.Sent) {
-      gsNoteOutcome(*row, failed, now);
+    bool failed = result.Outcome == gsAttemptOutcome::Incomplete ||
+                  (result.Outcome == gsAttemptOutcome::Complete &&
+                   result.Status >= firstServerError);
+    if (attempt.MayHaveSentBytes) {
+      gsRecordOutcome(*row, failed, now);
     }
-    bool full = result.End == gsAttemptEnd::NotExecuted &&
-                (result.Status == gsStatusUnavailable ||
-                 result.Status == gsStatusTooMany);
-    if (full) {
-      gsNoteTurnedAway(this->Fleet, *row, now);
+    bool isRejected = result.Outcome == gsAttemptOutcome::NotExecuted &&
+                      (result.Status == gsStatusUnavailable ||
+                       result.Status == gsStatusTooMany);
+    if (isRejected) {
+      gsRecordRejection(this->Fleet, *row, now);
     }
-    if (result.End == gsAttemptEnd::Whole) {
-      gsNoteHold(this->Fleet, *row, now - attempt.SentAt);
+    if (result.Outcome == gsAttemptOutcome::Complete) {
+      gsRecordSlotHold(this->Fleet, *row, now - attempt.SentAt);
     }
   }
   this->Events.OnEnd(request, held, result);
--- a/Source/Daemon/gsUpstreamCaller.h
+++ b/Source/Daemon/gsUpstreamCaller.h
@@ -1,9 +1,9 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * One attempt at an upstream: the call, and what its answer says. It keeps
- * the fleet's counts of open work, and decides only whether an answer belongs
- * to the request and is whole; what follows is the gateway's decision.
+ * Executes attempts: calls an upstream and interprets its answer. Updates the
+ * fleet's counts of outstanding work. It decides only whether an answer
+ * belongs to the request and is complete; the gateway decides what follows.
  */
 #pragma once
 
@@ -19,24 +19,28 @@
 {
   gsTime ConnectTimeout = gsMilliseconds(300);
   gsTime UserTimeout = gsMilliseconds(1500);
-  std::size_t MaxAnswer = 8U << 20U; ///< Bytes, of one that is not relayed.
+  std::size_t MaxAnswerBytes =
+    8U << 20U; ///< Bytes of an answer that is not relayed.
 };
 
 struct gsUpstreamCallerEvents
 {
-  /** Whether a request may still be sent; asked before its first byte. */
-  std::function<bool(gsRoutedRequest& request)> MaySend;
-  /** A stream has begun to run: its first byte came. */
-  std::function<void(gsRoutedRequestPtr const& request, gsTime at)> OnBegan;
-  /** An upstream says that it leaves, and its row does not say so yet. */
+  /** Whether a request may still be sent; called before its first byte. */
+  std::function<bool(gsRoutedRequest& request)> CanSend;
+  /** Execution of a stream has started: its first byte was received. */
+  std::function<void(gsRoutedRequestPtr const& request, gsTime at)>
+    OnExecutionStarted;
+  /** An upstream announces that it is shutting down, and its row is not yet
+   * marked so. */
   std::function<void(gsIncarnation const& upstream)> OnLeaving;
   /** An answer has changed an upstream's rate limit. */
   std::function<void()> OnRateLimit;
-  /** The body of a success begins to come; called before each part of it. */
+  /** The body of a successful answer is being received; called before each
+   * part of it. */
   std::function<void(gsRoutedRequestPtr const& request,
                      gsAttemptPtr const& attempt)>
-    OnAnswering;
-  /** Whole events of a good answer, to be passed on at once. */
+    OnBodyData;
+  /** Complete events of a successful answer, to be relayed immediately. */
   std::function<void(gsRoutedRequestPtr const& request, std::string events)>
     OnEvents;
   std::function<void(gsRoutedRequestPtr const& request,
@@ -52,45 +56,48 @@
                    gsFleet& fleet, gsUpstreamCallerSettings settings,
                    gsUpstreamCallerEvents events);
 
-  /** Starts an attempt, which becomes the request's last one. */
+  /** Starts an attempt and makes it the request's latest one. */
   void Start(gsRoutedRequestPtr const& request, gsPlacement const& placement);
 
-  /** Ends an attempt without OnEnd; its connection is closed. */
+  /** Cancels an attempt without calling OnEnd; its connection is closed. */
   void Cancel(gsAttempt& attempt);
-  /** Ends all attempts of a request in this way. */
+  /** Cancels all attempts of a request without calling OnEnd. */
   void CancelAll(gsRoutedRequest& request);
 
-  /** Goes on with an answer that waited for a slow caller. */
-  void Unpause(gsRoutedRequest const& request);
+  /** Resumes the answers that are paused for a slow caller. */
+  void Resume(gsRoutedRequest const& request);
 
-  /** Milliseconds an upstream takes for a prompt token, as measured. */
-  double MillisPerToken() const { return this->TokenMillis; }
-  /** The same where nothing else is read beside it: the fastest fifth of what
-   * was measured. The mean grows with the load, twofold and more in bursts. */
+  /** Moving average of the measured prompt processing time, in milliseconds
+   * per token. */
+  double MeanMillisPerToken() const { return this->TokenMillis; }
+  /** Prompt processing time without concurrent prompts, in milliseconds per
+   * token: the 20th percentile of the measured values. The mean is unsuitable
+   * for this because it rises with load, in bursts to twice as much and more.
+   */
   double FastMillisPerToken() const { return this->FastTokenMillis; }
 
 private:
   gsCall MakeCall(gsRoutedRequestPtr const& request,
                   gsAttemptPtr const& attempt, gsPlacement const& placement);
-  bool MaySend(gsRoutedRequest& request, gsAttempt& attempt);
+  bool CanSend(gsRoutedRequest& request, gsAttempt& attempt);
   void OnHeaders(gsRoutedRequestPtr const& request,
                  gsAttemptPtr const& attempt, unsigned status,
                  gsHeaders const& headers);
-  void NoteHead(gsRoutedRequest const& request, gsAttempt& attempt,
-                gsTime now);
-  void NoteRateLimit(gsRoutedRequest const& request, gsAttempt const& attempt,
-                     gsTime now);
+  void ApplyHead(gsRoutedRequest const& request, gsAttempt& attempt,
+                 gsTime now);
+  void ApplyRateLimit(gsRoutedRequest const& request, gsAttempt const& attempt,
+                      gsTime now);
   bool OnData(gsRoutedRequestPtr const& request, gsAttemptPtr const& attempt,
               std::string_view bytes);
-  void TakeEvents(gsRoutedRequestPtr const& request, gsAttempt& attempt,
-                  std::string_view bytes, gsTime now);
+  void RelayEvents(gsRoutedRequestPtr const& request, gsAttempt& attempt,
+                   std::string_view bytes, gsTime now);
   void OnEnd(gsRoutedRequestPtr const& request, gsAttemptPtr const& attempt,
              gsCallEnd const& end);
-  void Break(gsRoutedRequestPtr const& request, gsAttemptPtr const& attempt,
-             std::string detail);
-  void NoteFirstByte(gsRoutedRequest const& request, gsAttempt& attempt,
-                     gsTime now);
-  void Discharge(gsAttempt& attempt);
+  void AbortAttempt(gsRoutedRequestPtr const& request,
+                    gsAttemptPtr const& attempt, std::string detail);
+  void RecordFirstByte(gsRoutedRequest const& request, gsAttempt& attempt,
+                       gsTime now);
+  void ReleaseWork(gsAttempt& attempt);
   void Finish(gsRoutedRequestPtr const& request, gsAttemptPtr const& attempt,
               gsAttemptResult const& result);
 
@@ -103,5 +110,5 @@
   double FastTokenMillis = 0.03;
 };
 
-/** Whether the attempt's answer is passed on event by event. */
+/** Whether the attempt's answer is relayed event by event. */
 bool gsRelaysEvents(gsRoutedRequest const& request, gsAttempt const& attempt);
--- a/Source/Daemon/gsUpstreamFeed.cxx
+++ b/Source/Daemon/gsUpstreamFeed.cxx
@@ -8,22 +8,26 @@
 
 namespace {
 
-/** More rows that change at once are told by their counts alone. */
-constexpr std::size_t ToldEach = 20;
+/**
+ * Limit on rows that are logged individually; if more change at once, only the
+ * counts are logged.
+ */
+constexpr std::size_t MaxLoggedRows = 20;
 
-bool IsWrong(gsListing change)
+bool IsRejected(gsListingChange change)
 {
-  return change == gsListing::Unreadable || change == gsListing::Older;
+  return change == gsListingChange::Unreadable ||
+         change == gsListingChange::Outdated;
 }
 
-void LogRow(std::string const& key, gsTableRow const& row, gsListing change,
-            gsResult<gsListedUpstream> const& read)
+void LogRow(std::string const& key, gsTableRow const& row,
+            gsListingChange change, gsResult<gsListedUpstream> const& read)
 {
-  gsLogLine line(gsListingWord(change),
-                 IsWrong(change) ? gsLogLevel::Warn : gsLogLevel::Info);
+  gsLogLine line(gsListingChangeName(change),
+                 IsRejected(change) ? gsLogLevel::Warn : gsLogLevel::Info);
   line.With("upstream", key).With("row_version", row.Version);
   if (read) {
-    line.With("born", read.value().Born);
+    line.With("born", read.value().StartedAt);
   } else {
     line.With(read.error());
   }
@@ -31,88 +35,97 @@
 
 } // namespace
 
-/** Whether a change gets a line of its own. */
-bool gsUpstreamFeed::Tells(gsListing change, bool tellsEach)
+/**
+ * Whether a change has a log line of its own. Counts a rejected row against
+ * WarningsLeft.
+ */
+bool gsUpstreamFeed::ShouldLog(gsListingChange change, bool logsEachRow)
 {
-  if (change == gsListing::Same) {
+  if (change == gsListingChange::Unchanged) {
     return false;
   }
-  if (!IsWrong(change)) {
-    return tellsEach;
+  if (!IsRejected(change)) {
+    return logsEachRow;
   }
-  bool tells = this->WrongToTell > 0;
-  this->WrongToTell -= tells ? 1 : 0;
-  return tells;
+  bool shouldLog = this->WarningsLeft > 0;
+  this->WarningsLeft -= shouldLog ? 1 : 0;
+  return shouldLog;
 }
 
-gsListing gsUpstreamFeed::TakeRow(std::string const& key,
-                                  gsTableRow const& row, bool tellsEach,
-                                  gsTime now)
+gsListingChange gsUpstreamFeed::ApplyRow(std::string const& key,
+                                         gsTableRow const& row,
+                                         bool logsEachRow, gsTime now)
 {
-  gsResult<gsListedUpstream> read = this->Adapter.ReadUpstream(key, row.Value);
-  gsListing change = gsListTake(this->Named, key, row.Version, read);
-  if (this->Tells(change, tellsEach)) {
+  gsResult<gsListedUpstream> read =
+    this->Adapter.ParseUpstream(key, row.Value);
+  gsListingChange change =
+    gsListApplyRow(this->UpstreamList, key, row.Version, read);
+  if (this->ShouldLog(change, logsEachRow)) {
     LogRow(key, row, change, read);
   }
-  this->PutNamed(key, now);
+  this->ApplyListing(key, now);
   return change;
 }
 
-/** Puts an upstream in use as its row names it, or takes it out of use. */
-void gsUpstreamFeed::PutNamed(std::string const& key, gsTime now)
+/**
+ * Adds or updates an upstream in the fleet as its row lists it, or removes it
+ * if the row lists none.
+ */
+void gsUpstreamFeed::ApplyListing(std::string const& key, gsTime now)
 {
-  gsListedUpstream const* named = gsListNamed(this->Named, key);
-  if (named != nullptr) {
-    gsFleetPut(this->Fleet, *named, now);
+  gsListedUpstream const* listed = gsListFind(this->UpstreamList, key);
+  if (listed != nullptr) {
+    gsFleetUpsert(this->Fleet, *listed, now);
   } else {
-    gsFleetDrop(this->Fleet, key, now);
+    gsFleetRemove(this->Fleet, key, now);
   }
 }
 
-void gsUpstreamFeed::Take(std::vector<std::string> const& keys,
-                          gsTableWatch const& rows, gsTime now)
+void gsUpstreamFeed::ApplyRows(std::vector<std::string> const& keys,
+                               gsTableWatch const& rows, gsTime now)
 {
-  bool tellsEach = this->ListTaken && keys.size() <= ToldEach;
-  this->ListTaken = true;
-  this->WrongToTell = ToldEach;
-  std::map<gsListing, std::uint64_t> counts;
-  std::uint64_t gone = 0;
+  bool logsEachRow = this->HasInitialList && keys.size() <= MaxLoggedRows;
+  this->HasInitialList = true;
+  this->WarningsLeft = MaxLoggedRows;
+  std::map<gsListingChange, std::uint64_t> counts;
+  std::uint64_t removed = 0;
   for (std::string const& key : keys) {
-    auto row = rows.Present().find(key);
-    if (row == rows.Present().end()) {
-      ++gone;
-      gsListRemove(this->Named, key);
-      gsFleetDrop(this->Fleet, key, now);
-      if (tellsEach) {
+    auto row = rows.LiveRows().find(key);
+    if (row == rows.LiveRows().end()) {
+      ++removed;
+      gsListRemoveRow(this->UpstreamList, key);
+      gsFleetRemove(this->Fleet, key, now);
+      if (logsEachRow) {
         gsLogLine("upstream_gone")
           .With("upstream", key)
-          .With("row_version", rows.Version());
+          .With("row_version", rows.LastChangeVersion());
       }
-    } else if (!gsListHas(this->Named, key, row->second.Version)) {
-      ++counts[this->TakeRow(key, row->second, tellsEach, now)];
+    } else if (!gsListHasVersion(this->UpstreamList, key,
+                                 row->second.Version)) {
+      ++counts[this->ApplyRow(key, row->second, logsEachRow, now)];
     }
   }
   gsLogLine line("upstreams");
   line.With("listed", std::uint64_t(this->Fleet.Rows.size()))
-    .With("leaving", std::uint64_t(this->Fleet.LeavingRows))
-    .With("rows", std::uint64_t(this->Named.Rows.size()))
+    .With("leaving", std::uint64_t(this->Fleet.LeavingRowCount))
+    .With("rows", std::uint64_t(this->UpstreamList.Rows.size()))
     .With("changed", std::uint64_t(keys.size()))
-    .With("gone", gone)
-    .With("row_version", rows.Version())
-    .With("complete_to", rows.CompleteTo());
+    .With("gone", removed)
+    .With("row_version", rows.LastChangeVersion())
+    .With("complete_to", rows.CompleteVersion());
   for (auto const& [change, count] : counts) {
-    line.With(gsListingWord(change), count);
+    line.With(gsListingChangeName(change), count);
   }
 }
 
-void gsUpstreamFeed::TakeAll(gsTime now)
+void gsUpstreamFeed::ApplyAllRows(gsTime now)
 {
-  for (auto const& [key, row] : this->Named.Rows) {
-    this->PutNamed(key, now);
+  for (auto const& [key, row] : this->UpstreamList.Rows) {
+    this->ApplyListing(key, now);
   }
 }
 
-bool gsNoteServices(gsUpstreamList& list, gsRouteTable const& table)
+bool gsAddServices(gsUpstreamList& list, gsRouteTable const& table)
 {
   std::set<std::string>& known = list.Services;
   std::size_t before = known.size();
@@ -130,10 +143,11 @@
 void gsWriteUpstreamGauges(gsMetrics& metrics, gsFleet& fleet, gsTime now)
 {
   std::map<std::pair<std::string, std::string>, std::uint64_t> running;
-  gsForEachWorking(fleet, now, [&running](gsFleetRow const& row) {
-    running[{ row.Listed.Service, row.Listed.Hall }] += row.Own.Running;
+  gsForEachReportable(fleet, now, [&running](gsFleetRow const& row) {
+    running[{ row.Listed.Service, row.Listed.Hall }] +=
+      row.OwnLoad.OpenAttempts;
   });
-  metrics.Clear("gradescale_upstream_running");
+  metrics.RemoveValues("gradescale_upstream_running");
   for (auto const& [where, open] : running) {
     metrics.Set(
       "gradescale_upstream_running",
--- a/Source/Daemon/gsUpstreamFeed.h
+++ b/Source/Daemon/gsUpstreamFeed.h
@@ -1,10 +1,13 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * Puts what the platform's table of upstreams says in use, row by row as the
- * rows change, and logs it: a line for each row that changes by itself, and
- * the counts alone of many that change at once, as in a release, and of the
- * first list, but for what is wrong with it.
+ * Applies the platform's table of upstreams to the fleet, row by row as the
+ * rows change, and logs the changes.
+ *
+ * If few rows change, each has a log line of its own. If many change at once,
+ * as during a release of the upstreams, and for the first list, only the
+ * counts are logged. Rejected rows are logged individually even then, but at
+ * most MaxLoggedRows of them per call.
  */
 #pragma once
 
@@ -20,37 +23,48 @@
 class gsUpstreamFeed
 {
 public:
-  /** The adapter and the fleet outlive this. */
+  /** The adapter and the fleet must outlive this object. */
   gsUpstreamFeed(gsAdapter const& adapter, gsFleet& fleet)
     : Adapter(adapter)
     , Fleet(fleet)
   {
   }
 
-  /** Takes in the rows with these keys as they are now. */
-  void Take(std::vector<std::string> const& keys, gsTableWatch const& rows,
-            gsTime now);
+  /**
+   * Applies the current state of the rows with these keys; a row that is
+   * absent is removed.
+   */
+  void ApplyRows(std::vector<std::string> const& keys,
+                 gsTableWatch const& rows, gsTime now);
 
-  /** Takes in all rows anew, as services have become known. */
-  void TakeAll(gsTime now);
+  /** Applies all rows again after services have been added. */
+  void ApplyAllRows(gsTime now);
 
-  gsUpstreamList& List() { return this->Named; }
+  gsUpstreamList& List() { return this->UpstreamList; }
 
 private:
-  gsListing TakeRow(std::string const& key, gsTableRow const& row,
-                    bool tellsEach, gsTime now);
-  bool Tells(gsListing change, bool tellsEach);
-  void PutNamed(std::string const& key, gsTime now);
+  gsListingChange ApplyRow(std::string const& key, gsTableRow const& row,
+                           bool logsEachRow, gsTime now);
+  bool ShouldLog(gsListingChange change, bool logsEachRow);
+  void ApplyListing(std::string const& key, gsTime now);
 
   gsAdapter const& Adapter;
   gsFleet& Fleet;
-  gsUpstreamList Named;
-  bool ListTaken = false;      ///< A list of upstreams was taken before.
-  std::size_t WrongToTell = 0; ///< Lines left for rows that are wrong.
+  gsUpstreamList UpstreamList;
+  /** Whether a list of upstreams has been applied. */
+  bool HasInitialList = false;
+  /**
+   * Number of rejected rows that may still be logged during the current call
+   * of ApplyRows.
+   */
+  std::size_t WarningsLeft = 0;
 };
 
-/** Notes the services that a configuration names; true if any is new. */
-bool gsNoteServices(gsUpstreamList& list, gsRouteTable const& table);
+/**
+ * Adds the services that a configuration names. \return Whether any of them is
+ * new.
+ */
+bool gsAddServices(gsUpstreamList& list, gsRouteTable const& table);
 
-/** Open requests of this host by service and hall. */
+/** Exports the number of open requests of this host by service and hall. */
 void gsWriteUpstreamGauges(gsMetrics& metrics, gsFleet& fleet, gsTime now);
--- a/Source/Daemon/gsUsageDuty.cxx
+++ b/Source/Daemon/gsUsageDuty.cxx
@@ -13,19 +13,23 @@
 
 namespace {
 
-/** A host that is killed takes what it counted in this time along: of a tenth
- * of the hosts, 0.4 % of a window of 5 s. */
-constexpr gsTime TellPeriod = gsMilliseconds(400);
-/** All is told again so often, as a word may be lost with its link. */
-constexpr gsTime TellRefresh = gsSeconds(2);
-/** What hosts tell is that old, at most, when their hall's sum is made. */
-constexpr gsTime TellLag = gsMilliseconds(900);
-constexpr gsTime CallPatience = gsMilliseconds(1200);
-constexpr gsTime ConnectPatience = gsMilliseconds(400);
-/** Silence of the platform's duty calls after which another host may try. */
-constexpr gsTime UnansweredMost = gsSeconds(4);
+/** Interval between transmissions of counts. A host that is killed loses what
+ * it counted since the last one: if a tenth of the hosts are killed, 0.4 % of
+ * the counts of a 5 s window. */
+constexpr gsTime SendInterval = gsMilliseconds(400);
+/** Interval between transmissions of all counts, as an update may be lost when
+ * its link fails. */
+constexpr gsTime FullSendInterval = gsSeconds(2);
+/** Maximum age of the counts received from hosts when their hall's sums are
+ * computed. */
+constexpr gsTime MaxCountAge = gsMilliseconds(900);
+constexpr gsTime CallTimeout = gsMilliseconds(1200);
+constexpr gsTime ConnectTimeout = gsMilliseconds(400);
+/** Time without a response to reports after which this host leaves the lease
+ * to other hosts. */
+constexpr gsTime MaxUnansweredTime = gsSeconds(4);
 
-/** The key of a window's row; keys rise with windows. */
+/** Key of a window's row; the order of keys is that of windows. */
 std::string RowKey(std::uint64_t window)
 {
   char text[32];
@@ -34,21 +38,22 @@
   return text;
 }
 
-/** Reads what a window's row holds; absent for a row that none of us wrote. */
-std::optional<gsUsageCounts> ReadCounts(std::string const& value)
+/** Parses the counts in a window's row; empty if the row is malformed, and was
+ * thus not written by this software. */
+std::optional<gsUsageCounts> ParseCounts(std::string const& value)
 {
   nlohmann::json counts = nlohmann::json::parse(value, nullptr, false);
   if (!counts.is_object()) {
     return std::nullopt;
   }
-  gsUsageCounts read;
+  gsUsageCounts parsed;
   for (auto const& [organisation, count] : counts.items()) {
     if (!count.is_number_unsigned()) {
       return std::nullopt;
     }
-    read[organisation] = count.get<std::uint64_t>();
+    parsed[organisation] = count.get<std::uint64_t>();
   }
-  return read;
+  return parsed;
 }
 
 std::uint64_t Total(gsUsageCounts const& counts)
@@ -60,7 +65,7 @@
   return sum;
 }
 
-gsUsageWindows FromWire(gradescale::UsageNews const& wire)
+gsUsageWindows ParseWindows(gradescale::UsageNews const& wire)
 {
   gsUsageWindows windows;
   for (gradescale::UsageWindow const& window : wire.windows()) {
@@ -71,18 +76,18 @@
   return windows;
 }
 
-char const* AnswerWord(gsDutyAnswer answer)
+char const* DutyAnswerName(gsDutyCallResult answer)
 {
   switch (answer) {
-    case gsDutyAnswer::Taken:
+    case gsDutyCallResult::Accepted:
       return "taken";
-    case gsDutyAnswer::HigherToken:
+    case gsDutyCallResult::StaleToken:
       return "higher_token";
-    case gsDutyAnswer::NoneThere:
+    case gsDutyCallResult::Unavailable:
       return "none_there";
-    case gsDutyAnswer::TurnedAway:
+    case gsDutyCallResult::Rejected:
       return "turned_away";
-    case gsDutyAnswer::NoAnswer:
+    case gsDutyCallResult::NoAnswer:
       break;
   }
   return "no_answer";
@@ -102,119 +107,126 @@
   , Clocks(clocks)
   , Source(settings.Host + "#" + std::to_string(incarnation))
 {
-  this->State.Settings.Window = settings.Duties.Window;
-  this->State.Settings.Late = settings.Duties.Late;
+  this->ReporterState.Settings.WindowLength = settings.Duties.Window;
+  this->ReporterState.Settings.ReportDeadline = settings.Duties.Late;
 }
 
 gsUsageDuty::~gsUsageDuty()
 {
-  if (this->Call != 0) {
-    this->Client.Cancel(this->Call);
+  if (this->PendingCall != 0) {
+    this->Client.Cancel(this->PendingCall);
   }
 }
 
-bool gsUsageDuty::Coordinates(gsTime now) const
+bool gsUsageDuty::IsCoordinator(gsTime now) const
 {
-  return gsHallCoordinates(this->Cluster->Members(), now);
+  return gsHallIsCoordinator(this->Cluster->Members(), now);
 }
 
-gsWallTime gsUsageDuty::TrueNow(gsTime now) const
+gsWallTime gsUsageDuty::AgreedTime(gsTime now) const
 {
   return gsClockNow(this->Clocks, static_cast<gsWallTime>(gsWallMicros()),
-                    this->Coordinates(now), now);
+                    this->IsCoordinator(now), now);
 }
 
-void gsUsageDuty::Count(std::string const& organisation, gsTime began)
+void gsUsageDuty::CountRequest(std::string const& organisation, gsTime began)
 {
   if (organisation.empty()) {
     return;
   }
   gsTime now = gsLoop::Now();
-  gsWallTime then = this->TrueNow(now) - (now - began).count();
-  std::uint64_t window = gsUsageWindowOf(then, this->Settings.Duties.Window);
-  gsUsageCount(this->Own, this->Source, window, organisation);
+  gsWallTime beganAt = this->AgreedTime(now) - (now - began).count();
+  std::uint64_t window =
+    gsUsageWindowOf(beganAt, this->Settings.Duties.Window);
+  gsUsageIncrement(this->OwnCounts, this->Source, window, organisation);
 }
 
-void gsUsageDuty::Hear(std::string const& host, gradescale::Frame const& frame)
+void gsUsageDuty::ReceiveFrame(std::string const& host,
+                               gradescale::Frame const& frame)
 {
   gsTime now = gsLoop::Now();
   std::string source = host + "#" + std::to_string(frame.incarnation());
-  for (gradescale::UsageNews const& news : frame.usage_news()) {
-    if (!news.of_hall()) {
-      gsUsageMerge(this->Hall, source, FromWire(news));
+  for (gradescale::UsageNews const& update : frame.usage_news()) {
+    if (!update.of_hall()) {
+      gsUsageMerge(this->HallCounts, source, ParseWindows(update));
       continue;
     }
     std::string hall(gsHallOf(this->Cluster->Members(), host));
     if (!hall.empty() && hall != this->Settings.Hall) {
-      gsUsageMerge(this->Halls, hall, FromWire(news));
-      HallWord& word = this->HallWords[hall];
-      word.UpTo = std::max(word.UpTo, gsWallTime(news.told_up_to_us()));
-      word.At = now;
+      gsUsageMerge(this->CountsByHall, hall, ParseWindows(update));
+      HallReport& report = this->HallReports[hall];
+      report.CompleteUpTo =
+        std::max(report.CompleteUpTo, gsWallTime(update.told_up_to_us()));
+      report.ReceivedAt = now;
     }
   }
 }
 
 void gsUsageDuty::Tick(gsTime now)
 {
-  if (now - this->LastTell >= TellPeriod) {
-    this->LastTell = now;
+  if (now - this->LastSendAt >= SendInterval) {
+    this->LastSendAt = now;
     std::uint64_t window =
-      gsUsageWindowOf(this->TrueNow(now), this->Settings.Duties.Window);
+      gsUsageWindowOf(this->AgreedTime(now), this->Settings.Duties.Window);
     std::uint64_t oldest =
-      window - std::min(window, gsUsageKept(this->State.Settings));
-    gsUsageForget(this->Own, oldest);
-    gsUsageForget(this->Hall, oldest);
-    gsUsageForget(this->Halls, oldest);
-    this->TellOwn(now);
-    this->TellHall(now);
+      window -
+      std::min(window, gsUsageRetainedWindows(this->ReporterState.Settings));
+    gsUsagePurge(this->OwnCounts, oldest);
+    gsUsagePurge(this->HallCounts, oldest);
+    gsUsagePurge(this->CountsByHall, oldest);
+    this->SendOwnCounts(now);
+    this->SendHallCounts(now);
   }
-  this->Report(now);
+  this->ReportIfDue(now);
 }
 
-/** Tells this process's counts to the coordinators of its hall. */
-void gsUsageDuty::TellOwn(gsTime now)
+/** Sends the counts of this process to the coordinators of its hall. */
+void gsUsageDuty::SendOwnCounts(gsTime now)
 {
   gsHallMembership const& members = this->Cluster->Members();
-  gsUsageWindows own = gsUsageSums(this->Own);
-  gsUsageMerge(this->Hall, this->Source, own);
-  std::vector<std::string> order = gsHallOrder(members, now);
-  order.resize(std::min(order.size(), members.Settings.Coordinators));
+  gsUsageWindows own = gsUsageSumsByWindow(this->OwnCounts);
+  gsUsageMerge(this->HallCounts, this->Source, own);
+  std::vector<std::string> order = gsHallDutyOrder(members, now);
+  order.resize(std::min(order.size(), members.Settings.MaxCoordinators));
   for (std::string const& host : order) {
     if (host != this->Settings.Host) {
-      this->Send(host, own, false, now);
+      this->SendCounts(host, own, false, now);
     }
   }
 }
 
-/** Tells the hall's sums to a holder in another hall. */
-void gsUsageDuty::TellHall(gsTime now)
+/** Sends the sums of this hall to the lease holder, if that is in another hall
+ * and this host is the relay of its hall. */
+void gsUsageDuty::SendHallCounts(gsTime now)
 {
   gsHallMembership const& members = this->Cluster->Members();
   std::string holder = gsLeaseHolder(this->Lease.State(), now);
-  bool tells = !holder.empty() && holder != this->Settings.Host &&
-               gsHallRelay(members, now) == this->Settings.Host &&
-               gsHallOf(members, holder) != this->Settings.Hall;
-  if (tells) {
-    this->Send(holder, gsUsageSums(this->Hall), true, now);
+  bool isSender = !holder.empty() && holder != this->Settings.Host &&
+                  gsHallRelay(members, now) == this->Settings.Host &&
+                  gsHallOf(members, holder) != this->Settings.Hall;
+  if (isSender) {
+    this->SendCounts(holder, gsUsageSumsByWindow(this->HallCounts), true, now);
   }
 }
 
-void gsUsageDuty::Send(std::string const& to, gsUsageWindows const& counts,
-                       bool ofHall, gsTime now)
+void gsUsageDuty::SendCounts(std::string const& receiver,
+                             gsUsageWindows const& counts, bool ofHall,
+                             gsTime now)
 {
-  gradescale::Frame* frame = this->Cluster->ToHost(to);
+  gradescale::Frame* frame = this->Cluster->ToHost(receiver);
   if (frame == nullptr) {
-    this->Told.erase(to);
+    this->SentCounts.erase(receiver);
     return;
   }
-  gsUsageWindows news = gsUsageNews(counts, this->Told[to], TellRefresh, now);
-  if (news.empty() && !ofHall) {
+  gsUsageWindows update = gsUsageTakeUpdate(counts, this->SentCounts[receiver],
+                                            FullSendInterval, now);
+  if (update.empty() && !ofHall) {
     return;
   }
   gradescale::UsageNews* wire = frame->add_usage_news();
   wire->set_of_hall(ofHall);
-  wire->set_told_up_to_us(this->TrueNow(now) - TellLag.count());
-  for (auto const& [window, organisations] : news) {
+  wire->set_told_up_to_us(this->AgreedTime(now) - MaxCountAge.count());
+  for (auto const& [window, organisations] : update) {
     gradescale::UsageWindow* entry = wire->add_windows();
     entry->set_window(window);
     for (auto const& [organisation, count] : organisations) {
@@ -225,183 +237,201 @@
   }
 }
 
-/** How far the halls that are heard of have told their counts. */
-gsUsageReady gsUsageDuty::HallsReady(gsTime now) const
+/** Agreed time up to which the counts of all halls with a known relay have
+ * been received. */
+gsUsageProgress gsUsageDuty::HallsProgress(gsTime now) const
 {
-  gsUsageReady ready{ this->TrueNow(now) };
+  gsUsageProgress progress{ this->AgreedTime(now) };
   for (auto const& [hall, relay] :
        gsOtherRelays(this->Cluster->Members(), now)) {
-    auto word = this->HallWords.find(hall);
-    gsWallTime told = word == this->HallWords.end() ? 0 : word->second.UpTo;
-    ready.ToldUpTo = std::min(ready.ToldUpTo, told);
+    auto report = this->HallReports.find(hall);
+    gsWallTime completeUpTo =
+      report == this->HallReports.end() ? 0 : report->second.CompleteUpTo;
+    progress.ReceivedUpTo = std::min(progress.ReceivedUpTo, completeUpTo);
   }
-  return ready;
+  return progress;
 }
 
-void gsUsageDuty::Report(gsTime now)
+void gsUsageDuty::ReportIfDue(gsTime now)
 {
-  bool holds = this->Lease.MayAct(now);
-  if (!holds && this->Call != 0) {
-    this->Client.Cancel(std::exchange(this->Call, 0));
+  bool holds = this->Lease.MaySendDutyCall(now);
+  if (!holds && this->PendingCall != 0) {
+    this->Client.Cancel(std::exchange(this->PendingCall, 0));
   }
   if (!holds) {
-    this->Unanswered = gsTime{};
+    this->UnansweredSince = gsTime{};
   }
-  gsUsageHold(this->State, holds, now);
+  gsUsageSetLeaseHeld(this->ReporterState, holds, now);
   if (!holds) {
     return;
   }
-  gsUsageMerge(this->Halls, this->Settings.Hall, gsUsageSums(this->Hall));
-  std::optional<gsUsageStep> step = gsUsageTick(
-    this->State, this->Halls, this->HallsReady(now), this->TrueNow(now), now);
+  gsUsageMerge(this->CountsByHall, this->Settings.Hall,
+               gsUsageSumsByWindow(this->HallCounts));
+  std::optional<gsUsageStep> step =
+    gsUsageTick(this->ReporterState, this->CountsByHall,
+                this->HallsProgress(now), this->AgreedTime(now), now);
   if (step) {
-    this->Take(*step);
+    this->RunStep(*step);
   }
 }
 
-void gsUsageDuty::Take(gsUsageStep const& step)
+void gsUsageDuty::RunStep(gsUsageStep const& step)
 {
-  switch (step.Is) {
-    case gsUsageStep::Kind::Read:
-      this->Read();
+  switch (step.StepKind) {
+    case gsUsageStep::Kind::ReadRows:
+      this->ReadRows();
       break;
-    case gsUsageStep::Kind::Fix:
-      this->Fix(step);
+    case gsUsageStep::Kind::CommitWindow:
+      this->CommitWindow(step);
       break;
-    case gsUsageStep::Kind::Send:
+    case gsUsageStep::Kind::ReportWindow:
       this->SendReport(step);
       break;
   }
 }
 
-void gsUsageDuty::Fetch(gsCall call, std::function<void(gsAnswer const&)> done)
+void gsUsageDuty::StartCall(gsCall call,
+                            std::function<void(gsAnswer const&)> done)
 {
-  call.ConnectTimeout = ConnectPatience;
-  call.TotalTimeout = CallPatience;
+  call.ConnectTimeout = ConnectTimeout;
+  call.TotalTimeout = CallTimeout;
   call.Reuse = true;
-  // A process that stood still in between may hold the lease no more.
-  call.BeforeSend = [this] { return this->Lease.MayAct(gsLoop::Now()); };
-  ++this->Made;
-  this->Call = gsFetch(this->Client, std::move(call),
-                       [this, done = std::move(done)](gsAnswer const& answer) {
-                         this->Call = 0;
-                         done(answer);
-                       });
+  // If the process was suspended in the meantime, the lease may have expired.
+  call.BeforeSend = [this] {
+    return this->Lease.MaySendDutyCall(gsLoop::Now());
+  };
+  ++this->CallsMade;
+  this->PendingCall =
+    gsFetch(this->Client, std::move(call),
+            [this, done = std::move(done)](gsAnswer const& answer) {
+              this->PendingCall = 0;
+              done(answer);
+            });
 }
 
-/** Reads what earlier holders have fixed. */
-void gsUsageDuty::Read()
+/** Reads the windows that earlier lease holders have committed. */
+void gsUsageDuty::ReadRows()
 {
   gsCall call =
-    this->Adapter.ReadTable(this->Settings.Platform.Address,
-                            this->Adapter.Tables.Usage, std::string_view());
-  this->Fetch(std::move(call), [this](gsAnswer const& answer) {
-    gsTableAnswer read = this->Adapter.ReadPage(answer);
-    if (!read.Page) {
-      gsUsageFailed(this->State, gsLoop::Now());
+    this->Adapter.MakeReadCall(this->Settings.Platform.Address,
+                               this->Adapter.Tables.Usage, std::string_view());
+  this->StartCall(std::move(call), [this](gsAnswer const& answer) {
+    gsTableReadResult result = this->Adapter.ParseTableResponse(answer);
+    if (!result.Page) {
+      gsUsageStepFailed(this->ReporterState, gsLoop::Now());
       return;
     }
     gsUsageWindows rows;
-    for (gsTableRow const& row : read.Page->Rows) {
-      std::optional<gsUsageCounts> counts = ReadCounts(row.Value);
+    for (gsTableRow const& row : result.Page->Rows) {
+      std::optional<gsUsageCounts> counts = ParseCounts(row.Value);
       if (counts) {
         rows[std::strtoull(row.Key.c_str(), nullptr, 10)] = std::move(*counts);
       }
     }
-    gsUsageRead(this->State, rows);
+    gsUsageRowsRead(this->ReporterState, rows);
     gsLogLine("usage_read")
       .With("windows", std::uint64_t(rows.size()))
-      .With("next", this->State.Next)
+      .With("next", this->ReporterState.NextWindow)
       .With("token", this->Lease.State().Token);
   });
 }
 
-void gsUsageDuty::Fix(gsUsageStep const& step)
+void gsUsageDuty::CommitWindow(gsUsageStep const& step)
 {
   gsRowWrite write;
   write.Table = this->Adapter.Tables.Usage;
   write.Key = RowKey(step.Window);
   write.Value = nlohmann::json(step.Counts).dump();
-  for (std::uint64_t window : step.Remove) {
-    write.Remove.push_back(RowKey(window));
+  for (std::uint64_t window : step.ExpiredWindows) {
+    write.KeysToRemove.push_back(RowKey(window));
   }
-  gsCall call = this->Adapter.WriteRow(this->Settings.Platform.Address, write);
-  this->Fetch(std::move(call), [this, step, write](gsAnswer const& answer) {
-    this->OnFixed(step, answer, write);
-  });
+  gsCall call =
+    this->Adapter.MakeWriteCall(this->Settings.Platform.Address, write);
+  this->StartCall(std::move(call),
+                  [this, step, write](gsAnswer const& answer) {
+                    this->OnWindowCommitted(step, answer, write);
+                  });
 }
 
-void gsUsageDuty::OnFixed(gsUsageStep const& step, gsAnswer const& answer,
-                          gsRowWrite const& write)
+void gsUsageDuty::OnWindowCommitted(gsUsageStep const& step,
+                                    gsAnswer const& answer,
+                                    gsRowWrite const& write)
 {
-  gsRowWritten written = this->Adapter.ReadWritten(answer, write);
-  bool own = written.Is == gsRowWritten::Kind::Written;
+  gsRowWriteResult result = this->Adapter.ParseWriteResponse(answer, write);
+  bool writtenByThisHost = result.Outcome == gsRowWriteResult::Kind::Written;
   std::optional<gsUsageCounts> counts;
-  if (own) {
+  if (writtenByThisHost) {
     counts = step.Counts;
-  } else if (written.Is == gsRowWritten::Kind::Conflict && written.Row) {
-    counts = ReadCounts(written.Row->Value);
+  } else if (result.Outcome == gsRowWriteResult::Kind::Conflict &&
+             result.CurrentRow) {
+    counts = ParseCounts(result.CurrentRow->Value);
   }
   gsLogLine("usage_fixed", counts ? gsLogLevel::Info : gsLogLevel::Warn)
     .With("window", step.Window)
     .With("requests", Total(counts ? *counts : step.Counts))
     .With("organisations", std::uint64_t(step.Counts.size()))
-    .With("outcome", own      ? "written"
-                     : counts ? "by_another"
-                              : "failed")
-    .With("row_version", written.Version)
+    .With("outcome", writtenByThisHost ? "written"
+                     : counts          ? "by_another"
+                                       : "failed")
+    .With("row_version", result.Version)
     .With("token", this->Lease.State().Token)
-    .With("message", written.Detail);
+    .With("message", result.Detail);
   if (counts) {
-    gsUsageFixed(this->State, step.Window, std::move(*counts), own);
+    gsUsageWindowCommitted(this->ReporterState, step.Window,
+                           std::move(*counts), writtenByThisHost);
   } else {
-    gsUsageFailed(this->State, gsLoop::Now());
+    gsUsageStepFailed(this->ReporterState, gsLoop::Now());
   }
-  this->Report(gsLoop::Now());
+  this->ReportIfDue(gsLoop::Now());
 }
 
 void gsUsageDuty::SendReport(gsUsageStep const& step)
 {
-  gsDutyProof proof = this->Lease.Proof();
-  gsCall call = this->Adapter.ReportUsage(this->Settings.Duties.Address, proof,
-                                          step.Window, step.Counts);
-  this->Fetch(std::move(call),
-              [this, step, token = proof.Token](gsAnswer const& answer) {
-                this->OnSent(step, token, answer);
-              });
+  gsLeaseProof proof = this->Lease.Proof();
+  gsCall call = this->Adapter.MakeUsageReportCall(
+    this->Settings.Duties.Address, proof, step.Window, step.Counts);
+  this->StartCall(std::move(call), [this, step, token = proof.FencingToken](
+                                     gsAnswer const& answer) {
+    this->OnReportCompleted(step, token, answer);
+  });
 }
 
-void gsUsageDuty::OnSent(gsUsageStep const& step, std::uint64_t token,
-                         gsAnswer const& answer)
+void gsUsageDuty::OnReportCompleted(gsUsageStep const& step,
+                                    std::uint64_t token,
+                                    gsAnswer const& answer)
 {
   gsTime now = gsLoop::Now();
-  gsDutyAnswer outcome = this->Adapter.ReadDutyAnswer(answer, false);
-  auto late = this->TrueNow(now) -
-              gsUsageWindowEnd(step.Window, this->Settings.Duties.Window);
-  gsLogLine("usage_report", outcome == gsDutyAnswer::Taken ? gsLogLevel::Info
-                                                           : gsLogLevel::Warn)
+  gsDutyCallResult outcome = this->Adapter.ParseDutyResponse(answer, false);
+  auto timeAfterEnd =
+    this->AgreedTime(now) -
+    gsUsageWindowEnd(step.Window, this->Settings.Duties.Window);
+  gsLogLine("usage_report", outcome == gsDutyCallResult::Accepted
+                              ? gsLogLevel::Info
+                              : gsLogLevel::Warn)
     .With("window", step.Window)
     .With("requests", Total(step.Counts))
     .With("token", token)
-    .With("outcome", AnswerWord(outcome))
+    .With("outcome", DutyAnswerName(outcome))
     .With("status", answer.End.Status)
-    .With("after_end_ms", gsTime(late));
-  this->Metrics.Count("gradescale_usage_reports_total",
-                      gsLabels({ { "outcome", AnswerWord(outcome) } }));
-  if (outcome == gsDutyAnswer::Taken) {
-    this->Unanswered = gsTime{};
-    gsUsageSent(this->State, step.Window);
+    .With("after_end_ms", gsTime(timeAfterEnd));
+  this->Metrics.Increment(
+    "gradescale_usage_reports_total",
+    gsLabels({ { "outcome", DutyAnswerName(outcome) } }));
+  if (outcome == gsDutyCallResult::Accepted) {
+    this->UnansweredSince = gsTime{};
+    gsUsageWindowReported(this->ReporterState, step.Window);
     return;
   }
-  this->Refusal = std::string(AnswerWord(outcome)) + " for window " +
-                  std::to_string(step.Window);
-  gsUsageFailed(this->State, now);
-  if (outcome == gsDutyAnswer::HigherToken) {
-    this->Lease.Lose("usage", now);
-  } else if (outcome == gsDutyAnswer::NoAnswer) {
-    this->Unanswered = this->Unanswered.count() == 0 ? now : this->Unanswered;
-    if (now - this->Unanswered >= UnansweredMost) {
-      this->Unanswered = gsTime{};
+  this->LastReportFailure = std::string(DutyAnswerName(outcome)) +
+                            " for window " + std::to_string(step.Window);
+  gsUsageStepFailed(this->ReporterState, now);
+  if (outcome == gsDutyCallResult::StaleToken) {
+    this->Lease.Revoke("usage", now);
+  } else if (outcome == gsDutyCallResult::NoAnswer) {
+    this->UnansweredSince =
+      this->UnansweredSince.count() == 0 ? now : this->UnansweredSince;
+    if (now - this->UnansweredSince >= MaxUnansweredTime) {
+      this->UnansweredSince = gsTime{};
       this->Lease.Abstain(now);
     }
   }
--- a/Source/Daemon/gsUsageDuty.h
+++ b/Source/Daemon/gsUsageDuty.h
@@ -1,9 +1,10 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * Counts the requests that began to run on this host, tells its hall's
- * coordinators, sums a hall's counts for whoever holds the duty, and as the
- * holder reports them to the platform.
+ * Reports the number of executed requests per organisation and time window to
+ * the platform. Each host sends the counts of its own process to the
+ * coordinators of its hall. The relay of a hall sends the hall's sums to the
+ * host that holds the lease on duties, which reports the total of all halls.
  */
 #pragma once
 
@@ -24,7 +25,7 @@
 class gsUsageDuty
 {
 public:
-  /** All that is referred to outlives this. */
+  /** All referenced objects have to outlive this one. */
   gsUsageDuty(gsHttpClient& client, gsAdapter const& adapter,
               gsSettings const& settings, gsMetrics& metrics,
               gsLeaseKeeper& lease, gsClockAgreement const& clocks,
@@ -33,42 +34,51 @@
   gsUsageDuty(gsUsageDuty const&) = delete;
   gsUsageDuty& operator=(gsUsageDuty const&) = delete;
 
+  /** Has to be called before all other methods; the cluster has to outlive
+   * this object. */
   void Start(gsHallCluster& cluster) { this->Cluster = &cluster; }
 
-  /** Counts a request that began to run at a time of the steady clock. */
-  void Count(std::string const& organisation, gsTime began);
+  /** Counts a request that began executing at a time of the steady clock.
+   * Requests without an organisation are not counted. */
+  void CountRequest(std::string const& organisation, gsTime began);
 
-  void Hear(std::string const& host, gradescale::Frame const& frame);
+  /** Merges the counts in a frame of another host. */
+  void ReceiveFrame(std::string const& host, gradescale::Frame const& frame);
+  /** Sends counts and performs the next step of a report, if due. */
   void Tick(gsTime now);
 
-  gsUsageReporter const& Reporter() const { return this->State; }
-  std::string const& LastRefusal() const { return this->Refusal; }
-  std::uint64_t Calls() const { return this->Made; }
+  gsUsageReporter const& Reporter() const { return this->ReporterState; }
+  /** Why the last failed report failed; empty if none has. */
+  std::string const& LastFailure() const { return this->LastReportFailure; }
+  /** Number of calls made to the platform. */
+  std::uint64_t CallCount() const { return this->CallsMade; }
 
 private:
-  struct HallWord
+  /** The last report received from another hall. */
+  struct HallReport
   {
-    gsWallTime UpTo = 0; ///< True time up to which its hosts told theirs.
-    gsTime At{};
+    /** Agreed time up to which the hall's counts are complete. */
+    gsWallTime CompleteUpTo = 0;
+    gsTime ReceivedAt{}; ///< When the report was received.
   };
 
-  gsWallTime TrueNow(gsTime now) const;
-  bool Coordinates(gsTime now) const;
-  void TellOwn(gsTime now);
-  void TellHall(gsTime now);
-  void Send(std::string const& to, gsUsageWindows const& counts, bool ofHall,
-            gsTime now);
-  gsUsageReady HallsReady(gsTime now) const;
-  void Report(gsTime now);
-  void Take(gsUsageStep const& step);
-  void Read();
-  void Fix(gsUsageStep const& step);
-  void OnFixed(gsUsageStep const& step, gsAnswer const& answer,
-               gsRowWrite const& write);
+  gsWallTime AgreedTime(gsTime now) const;
+  bool IsCoordinator(gsTime now) const;
+  void SendOwnCounts(gsTime now);
+  void SendHallCounts(gsTime now);
+  void SendCounts(std::string const& receiver, gsUsageWindows const& counts,
+                  bool ofHall, gsTime now);
+  gsUsageProgress HallsProgress(gsTime now) const;
+  void ReportIfDue(gsTime now);
+  void RunStep(gsUsageStep const& step);
+  void ReadRows();
+  void CommitWindow(gsUsageStep const& step);
+  void OnWindowCommitted(gsUsageStep const& step, gsAnswer const& answer,
+                         gsRowWrite const& write);
   void SendReport(gsUsageStep const& step);
-  void OnSent(gsUsageStep const& step, std::uint64_t token,
-              gsAnswer const& answer);
-  void Fetch(gsCall call, std::function<void(gsAnswer const&)> done);
+  void OnReportCompleted(gsUsageStep const& step, std::uint64_t token,
+                         gsAnswer const& answer);
+  void StartCall(gsCall call, std::function<void(gsAnswer const&)> done);
 
   gsHttpClient& Client;
   gsAdapter const& Adapter;
@@ -76,17 +86,22 @@
   gsMetrics& Metrics;
   gsLeaseKeeper& Lease;
   gsClockAgreement const& Clocks;
-  std::string Source; ///< This process.
-  gsHallCluster* Cluster = nullptr;
-  gsUsageLedger Own;   ///< This process alone.
-  gsUsageLedger Hall;  ///< By processes of the hall; on coordinators.
-  gsUsageLedger Halls; ///< By halls; on the holder.
-  std::map<std::string, gsUsageTold> Told; ///< By host.
-  std::map<std::string, HallWord> HallWords;
-  gsUsageReporter State;
-  gsTime LastTell{};
-  gsTime Unanswered{}; ///< Since when the platform has not answered.
-  std::uint64_t Call = 0;
-  std::uint64_t Made = 0;
-  std::string Refusal; ///< Of the last report; for the operator.
+  std::string Source; ///< Identifies this process by host and incarnation.
+  gsHallCluster* Cluster = nullptr; ///< Set by Start.
+  gsUsageLedger OwnCounts;          ///< Counts of this process.
+  /** Counts of this hall, by process. Only coordinators receive those of other
+   * hosts. */
+  gsUsageLedger HallCounts;
+  /** Counts of all halls, by hall; maintained on the lease holder. */
+  gsUsageLedger CountsByHall;
+  /** Counts already sent, by receiving host. */
+  std::map<std::string, gsUsageSentCounts> SentCounts;
+  std::map<std::string, HallReport> HallReports; ///< By hall.
+  gsUsageReporter ReporterState;
+  gsTime LastSendAt{};
+  /** Since when the platform has not answered reports; zero if it has. */
+  gsTime UnansweredSince{};
+  std::uint64_t PendingCall = 0; ///< Pending call; zero if there is none.
+  std::uint64_t CallsMade = 0;
+  std::string LastReportFailure; ///< Cause and window, for operators.
 };
--- a/Source/Daemon/gsWireCodec.cxx
+++ b/Source/Daemon/gsWireCodec.cxx
@@ -5,12 +5,12 @@
 
 namespace {
 
-std::uint64_t Micros(gsTime time)
+std::uint64_t ToMicros(gsTime time)
 {
   return static_cast<std::uint64_t>(std::max<std::int64_t>(0, time.count()));
 }
 
-gsTime Time(std::uint64_t micros)
+gsTime FromMicros(std::uint64_t micros)
 {
   return gsTime(static_cast<std::int64_t>(micros));
 }
@@ -41,9 +41,9 @@
 {
   gsHallSummary summary;
   summary.Hall = wire.hall();
-  summary.Hosts = wire.hosts();
+  summary.HostCount = wire.hosts();
   for (gradescale::HallHost const& host : wire.first()) {
-    summary.First.push_back(FromWire(host));
+    summary.FirstHosts.push_back(FromWire(host));
   }
   return summary;
 }
@@ -51,8 +51,8 @@
 void ToWire(gsHallSummary const& summary, gradescale::HallSummary* wire)
 {
   wire->set_hall(summary.Hall);
-  wire->set_hosts(summary.Hosts);
-  for (gsHallHost const& host : summary.First) {
+  wire->set_hosts(summary.HostCount);
+  for (gsHallHost const& host : summary.FirstHosts) {
     ToWire(host, wire->add_first());
   }
 }
@@ -64,11 +64,11 @@
   return { wire.host(), wire.sequence(), wire.attempt() };
 }
 
-gsAsk gsFromWire(gradescale::Ask const& wire)
+gsGrantRequest gsFromWire(gradescale::Ask const& wire)
 {
-  // A tier beyond this cannot come from a checked document.
+  // A validated document contains no higher tier.
   constexpr std::uint32_t maxTier = 255;
-  gsAsk ask;
+  gsGrantRequest ask;
   ask.Id = gsFromWire(wire.id());
   ask.Pool = wire.pool();
   ask.Organisation = wire.organisation();
@@ -76,14 +76,14 @@
   ask.Tier = std::min(wire.tier(), maxTier);
   ask.Weight = wire.weight();
   ask.PromptTokens = wire.prompt_tokens();
-  ask.Waited = Time(wire.waited_us());
-  ask.MaxWait = Time(wire.max_wait_us());
-  ask.Affinity = wire.affinity();
-  ask.FirstToken = Time(wire.target_first_token_us());
-  ask.TokenGap = Time(wire.target_gap_us());
-  ask.Avoid = wire.avoid();
-  ask.Force = wire.force();
-  ask.Patient = wire.patient();
+  ask.PriorWaitTime = FromMicros(wire.waited_us());
+  ask.MaxWait = FromMicros(wire.max_wait_us());
+  ask.AffinityHash = wire.affinity();
+  ask.FirstTokenTarget = FromMicros(wire.target_first_token_us());
+  ask.TokenIntervalTarget = FromMicros(wire.target_gap_us());
+  ask.AvoidUpstream = wire.avoid();
+  ask.ForceQueue = wire.force();
+  ask.WaitWhileEjected = wire.patient();
   return ask;
 }
 
@@ -100,10 +100,10 @@
   return member;
 }
 
-gsMeasured gsMeasuredFromWire(gradescale::Release const& wire)
+gsGrantMeasurements gsMeasuredFromWire(gradescale::Release const& wire)
 {
-  return { wire.tokens(), Time(wire.first_token_us()), Time(wire.gap_us()),
-           Time(wire.duration_us()) };
+  return { wire.tokens(), FromMicros(wire.first_token_us()),
+           FromMicros(wire.gap_us()), FromMicros(wire.duration_us()) };
 }
 
 void gsToWire(gsRequestId const& id, gradescale::RequestId* wire)
@@ -113,7 +113,7 @@
   wire->set_attempt(id.Attempt);
 }
 
-void gsToWire(gsAsk const& ask, gradescale::Ask* wire)
+void gsToWire(gsGrantRequest const& ask, gradescale::Ask* wire)
 {
   gsToWire(ask.Id, wire->mutable_id());
   wire->set_pool(ask.Pool);
@@ -122,14 +122,14 @@
   wire->set_tier(ask.Tier);
   wire->set_weight(ask.Weight);
   wire->set_prompt_tokens(ask.PromptTokens);
-  wire->set_waited_us(Micros(ask.Waited));
-  wire->set_max_wait_us(Micros(ask.MaxWait));
-  wire->set_affinity(ask.Affinity);
-  wire->set_target_first_token_us(Micros(ask.FirstToken));
-  wire->set_target_gap_us(Micros(ask.TokenGap));
-  wire->set_avoid(ask.Avoid);
-  wire->set_force(ask.Force);
-  wire->set_patient(ask.Patient);
+  wire->set_waited_us(ToMicros(ask.PriorWaitTime));
+  wire->set_max_wait_us(ToMicros(ask.MaxWait));
+  wire->set_affinity(ask.AffinityHash);
+  wire->set_target_first_token_us(ToMicros(ask.FirstTokenTarget));
+  wire->set_target_gap_us(ToMicros(ask.TokenIntervalTarget));
+  wire->set_avoid(ask.AvoidUpstream);
+  wire->set_force(ask.ForceQueue);
+  wire->set_patient(ask.WaitWhileEjected);
 }
 
 void gsToWire(gsMember const& member, gradescale::Member* wire)
@@ -148,15 +148,15 @@
   wire->set_pool(grant.Pool);
   wire->set_upstream(grant.Upstream);
   wire->set_address(grant.Address);
-  wire->set_start_within_us(Micros(grant.StartWithin));
+  wire->set_start_within_us(ToMicros(grant.StartTimeout));
   wire->set_incarnation(grant.Incarnation);
 }
 
 void gsToWire(gsRefusal const& refusal, gradescale::Refusal* wire)
 {
   gsToWire(refusal.Id, wire->mutable_id());
-  wire->set_cause(gsCauseWord(refusal.Cause));
-  wire->set_retry_after_us(Micros(refusal.RetryAfter));
+  wire->set_cause(gsRefusalCauseName(refusal.Cause));
+  wire->set_retry_after_us(ToMicros(refusal.RetryAfter));
 }
 
 gsLoadReport gsFromWire(gradescale::LoadReport const& wire)
@@ -178,8 +178,8 @@
                                                   { entry.slow().begin(),
                                                     entry.slow().end() } };
   }
-  report.Load.CutOffHalls = { wire.cut_off_halls().begin(),
-                              wire.cut_off_halls().end() };
+  report.Load.UnreachableHalls = { wire.cut_off_halls().begin(),
+                                   wire.cut_off_halls().end() };
   report.Age = gsMilliseconds(wire.age_ms());
   return report;
 }
@@ -194,25 +194,25 @@
     gradescale::UpstreamLoad* entry = wire->add_loads();
     entry->set_upstream(upstream);
     entry->set_running(load.Running);
-    entry->set_read_tokens(load.ReadTokens);
+    entry->set_read_tokens(load.PendingPromptTokens);
     entry->set_memory_tokens(load.MemoryTokens);
-    entry->set_pace_us(load.PaceMicros);
+    entry->set_pace_us(load.MinEventIntervalMicros);
   }
   for (auto const& [service, demand] : report.Load.Services) {
     gradescale::ServiceDemand* entry = wire->add_demands();
     entry->set_service(service);
-    entry->set_long_tokens(demand.Long);
-    entry->set_tight_tokens(demand.Tight);
+    entry->set_long_tokens(demand.LongTokens);
+    entry->set_tight_tokens(demand.TightTokens);
   }
   for (auto const& [service, arrangement] : report.Load.Arrangements) {
     gradescale::EngineArrangement* entry = wire->add_arrangements();
     entry->set_service(service);
     entry->set_version(arrangement.Version);
     entry->set_long_engines(arrangement.LongEngines);
-    entry->mutable_slow()->Add(arrangement.Slow.begin(),
-                               arrangement.Slow.end());
+    entry->mutable_slow()->Add(arrangement.SlowEngines.begin(),
+                               arrangement.SlowEngines.end());
   }
-  for (std::uint32_t hall : report.Load.CutOffHalls) {
+  for (std::uint32_t hall : report.Load.UnreachableHalls) {
     wire->add_cut_off_halls(hall);
   }
 }
@@ -221,15 +221,15 @@
 {
   gsHallMessage message;
   if (wire.has_self()) {
-    message.Self = FromWire(wire.self());
+    message.Sender = FromWire(wire.self());
   }
-  message.Asks = wire.asks();
+  message.DigestRequested = wire.asks();
   message.DigestHash = wire.digest_hash();
   if (wire.has_digest()) {
     message.Digest.emplace();
-    message.Digest->Receivers = FromWire(wire.receivers());
+    message.Digest->ReceiverHall = FromWire(wire.receivers());
     for (gradescale::HallSummary const& other : wire.others()) {
-      message.Digest->Others.push_back(FromWire(other));
+      message.Digest->OtherHalls.push_back(FromWire(other));
     }
   }
   return message;
@@ -237,15 +237,15 @@
 
 void gsToWire(gsHallMessage const& message, gradescale::HallNews* wire)
 {
-  if (message.Self) {
-    ToWire(*message.Self, wire->mutable_self());
+  if (message.Sender) {
+    ToWire(*message.Sender, wire->mutable_self());
   }
-  wire->set_asks(message.Asks);
+  wire->set_asks(message.DigestRequested);
   wire->set_digest_hash(message.DigestHash);
   wire->set_has_digest(message.Digest.has_value());
   if (message.Digest) {
-    ToWire(message.Digest->Receivers, wire->mutable_receivers());
-    for (gsHallSummary const& other : message.Digest->Others) {
+    ToWire(message.Digest->ReceiverHall, wire->mutable_receivers());
+    for (gsHallSummary const& other : message.Digest->OtherHalls) {
       ToWire(other, wire->add_others());
     }
   }
--- a/Source/Io/gsPlatform.cxx
+++ b/Source/Io/gsPlatform.cxx
@@ -11,26 +11,26 @@
 
 constexpr unsigned StatusOk = 200;
 
-char const* KindWord(gsTableOp::Kind kind)
+char const* KindWord(gsTableOperation::Kind kind)
 {
   switch (kind) {
-    case gsTableOp::Kind::Insert:
+    case gsTableOperation::Kind::Insert:
       return "insert";
-    case gsTableOp::Kind::Get:
+    case gsTableOperation::Kind::Get:
       return "get";
-    case gsTableOp::Kind::Replace:
+    case gsTableOperation::Kind::Replace:
       return "replace";
-    case gsTableOp::Kind::Delete:
+    case gsTableOperation::Kind::Delete:
       break;
   }
   return "delete";
 }
 
-gsResult<gsTableOp::Kind> KindNamed(std::string const& word)
+gsResult<gsTableOperation::Kind> KindNamed(std::string const& word)
 {
-  for (gsTableOp::Kind kind :
-       { gsTableOp::Kind::Insert, gsTableOp::Kind::Get,
-         gsTableOp::Kind::Replace, gsTableOp::Kind::Delete }) {
+  for (gsTableOperation::Kind kind :
+       { gsTableOperation::Kind::Insert, gsTableOperation::Kind::Get,
+         gsTableOperation::Kind::Replace, gsTableOperation::Kind::Delete }) {
     if (word == KindWord(kind)) {
       return kind;
     }
@@ -78,17 +78,17 @@
 
 } // namespace
 
-std::string gsOpsToJson(std::vector<gsTableOp> const& ops)
+std::string gsOpsToJson(std::vector<gsTableOperation> const& ops)
 {
   Json list = Json::array();
-  for (gsTableOp const& op : ops) {
-    Json row{ { "op", KindWord(op.What) }, { "key", op.Key } };
-    if (op.What == gsTableOp::Kind::Insert ||
-        op.What == gsTableOp::Kind::Replace) {
+  for (gsTableOperation const& op : ops) {
+    Json row{ { "op", KindWord(op.OperationKind) }, { "key", op.Key } };
+    if (op.OperationKind == gsTableOperation::Kind::Insert ||
+        op.OperationKind == gsTableOperation::Kind::Replace) {
       row["value"] = op.Value;
     }
-    if (op.What == gsTableOp::Kind::Replace ||
-        op.What == gsTableOp::Kind::Delete) {
+    if (op.OperationKind == gsTableOperation::Kind::Replace ||
+        op.OperationKind == gsTableOperation::Kind::Delete) {
       row["expected"] = op.Expected;
     }
     list.push_back(std::move(row));
@@ -96,7 +96,7 @@
   return Json{ { "ops", std::move(list) } }.dump();
 }
 
-gsResult<std::vector<gsTableOp>> gsOpsFromJson(std::string_view text)
+gsResult<std::vector<gsTableOperation>> gsOpsFromJson(std::string_view text)
 {
   Json body = Json::parse(text, nullptr, false);
   if (!body.is_object() || !body.contains("ops")) {
@@ -104,9 +104,9 @@
       "bad_request", "Expected an object with 'ops'.", "table", {}
     };
   }
-  std::vector<gsTableOp> ops;
+  std::vector<gsTableOperation> ops;
   for (Json const& row : body["ops"]) {
-    gsResult<gsTableOp::Kind> kind = KindNamed(row.value("op", ""));
+    gsResult<gsTableOperation::Kind> kind = KindNamed(row.value("op", ""));
     if (!kind) {
       return kind.error();
     }
@@ -120,9 +120,9 @@
 {
   Json list = Json::array();
   for (gsTableResult const& result : results) {
-    Json row{ { "done", result.Done } };
-    if (result.Current) {
-      row["current"] = *result.Current;
+    Json row{ { "done", result.Applied } };
+    if (result.CurrentValue) {
+      row["current"] = *result.CurrentValue;
     }
     list.push_back(std::move(row));
   }
@@ -138,9 +138,9 @@
   std::vector<gsTableResult> results;
   for (Json const& row : body["results"]) {
     gsTableResult result;
-    result.Done = row.value("done", false);
+    result.Applied = row.value("done", false);
     if (row.contains("current")) {
-      result.Current = row["current"].get<std::string>();
+      result.CurrentValue = row["current"].get<std::string>();
     }
     results.push_back(std::move(result));
   }
@@ -163,7 +163,7 @@
   };
   std::string peer = settings.Address;
   platform.Transact = [&client, make, peer](
-                        std::vector<gsTableOp> const& ops,
+                        std::vector<gsTableOperation> const& ops,
                         std::function<void(gsPlatform::Results const&)> done) {
     gsCall call = make("POST", "/table");
     call.Body = gsOpsToJson(ops);
@@ -198,26 +198,29 @@
 }
 
 std::vector<gsTableResult> gsApplyToTable(
-  std::map<std::string, std::string>& table, std::vector<gsTableOp> const& ops)
+  std::map<std::string, std::string>& table,
+  std::vector<gsTableOperation> const& ops)
 {
   std::vector<gsTableResult> results;
-  for (gsTableOp const& op : ops) {
+  for (gsTableOperation const& op : ops) {
     gsTableResult result;
     auto row = table.find(op.Key);
     bool matches = row != table.end() && row->second == op.Expected;
-    if (op.What == gsTableOp::Kind::Insert && row == table.end()) {
+    if (op.OperationKind == gsTableOperation::Kind::Insert &&
+        row == table.end()) {
       table[op.Key] = op.Value;
-      result.Done = true;
-    } else if (op.What == gsTableOp::Kind::Replace && matches) {
+      result.Applied = true;
+    } else if (op.OperationKind == gsTableOperation::Kind::Replace &&
+               matches) {
       row->second = op.Value;
-      result.Done = true;
-    } else if (op.What == gsTableOp::Kind::Delete && matches) {
+      result.Applied = true;
+    } else if (op.OperationKind == gsTableOperation::Kind::Delete && matches) {
       table.erase(row);
-      result.Done = true;
+      result.Applied = true;
     }
     row = table.find(op.Key);
     if (row != table.end()) {
-      result.Current = row->second;
+      result.CurrentValue = row->second;
     }
     results.push_back(std::move(result));
   }
@@ -229,7 +232,7 @@
   auto table = std::make_shared<std::map<std::string, std::string>>();
   gsPlatform platform;
   platform.Transact =
-    [&loop, table](std::vector<gsTableOp> const& ops,
+    [&loop, table](std::vector<gsTableOperation> const& ops,
                    std::function<void(gsPlatform::Results const&)> done) {
       std::vector<gsTableResult> results = gsApplyToTable(*table, ops);
       loop.Defer([done = std::move(done), results = std::move(results)] {
--- a/Source/Io/gsPlatform.h
+++ b/Source/Io/gsPlatform.h
@@ -40,7 +40,7 @@
 struct gsPlatform
 {
   using Results = gsResult<std::vector<gsTableResult>>;
-  std::function<void(std::vector<gsTableOp> const& ops,
+  std::function<void(std::vector<gsTableOperation> const& ops,
                      std::function<void(Results const&)> done)>
     Transact;
   std::function<void(std::function<void(gsResult<gsHostList> const&)> done)>
@@ -61,13 +61,13 @@
 /** Applies operations to a table in memory, in order. */
 std::vector<gsTableResult> gsApplyToTable(
   std::map<std::string, std::string>& table,
-  std::vector<gsTableOp> const& ops);
+  std::vector<gsTableOperation> const& ops);
 
 /** A table within this process, for a system of one daemon. */
 gsPlatform gsMakeMemoryPlatform(gsLoop& loop);
 
 /** Operations and results as JSON, as they stand in the HTTP interface. */
-std::string gsOpsToJson(std::vector<gsTableOp> const& ops);
-gsResult<std::vector<gsTableOp>> gsOpsFromJson(std::string_view text);
+std::string gsOpsToJson(std::vector<gsTableOperation> const& ops);
+gsResult<std::vector<gsTableOperation>> gsOpsFromJson(std::string_view text);
 std::string gsResultsToJson(std::vector<gsTableResult> const& results);
 gsResult<std::vector<gsTableResult>> gsResultsFromJson(std::string_view text);
