--- a/Source/Tool/gsExplain.cxx
+++ b/Source/Tool/gsExplain.cxx
@@ -12,25 +12,25 @@
 
 double MillisSince(gsLogRecord const& record, gsLogRecord const& first)
 {
-  return gsToSeconds(record.At - first.At) * 1e3;
+  return gsToSeconds(record.Timestamp - first.Timestamp) * 1e3;
 }
 
 } // namespace
 
-gsResult<gsStory> gsExplainFromFiles(std::string const& request,
-                                     std::vector<std::string> const& files)
+gsResult<gsRequestTimeline> gsExplainFromFiles(
+  std::string const& request, std::vector<std::string> const& files)
 {
-  gsStoryReader reader;
-  reader.Request = request;
+  gsRequestTimelineCollector reader;
+  reader.RequestId = request;
   gsResult<std::size_t> understood =
     gsReadLogFiles(files, [&reader](gsLogRecord const& record) {
-      gsStoryTake(reader, record);
+      gsCollectTimelineRecord(reader, record);
     });
   if (!understood) {
     return understood.error();
   }
-  gsStory story = gsStoryTell(reader);
-  if (story.Named == 0) {
+  gsRequestTimeline story = gsBuildRequestTimeline(reader);
+  if (story.RequestRecordCount == 0) {
     return gsError{ "unknown_request",
                     "None of " + std::to_string(understood.value()) +
                       " log lines names request " + request + ".",
@@ -40,7 +40,7 @@
   return story;
 }
 
-void gsPrintStory(gsStory const& story, std::ostream& out)
+void gsPrintStory(gsRequestTimeline const& story, std::ostream& out)
 {
   constexpr int timeWidth = 10;
   for (gsLogRecord const& record : story.Records) {
@@ -54,11 +54,11 @@
     }
     out << '\n';
   }
-  out << "Request " << story.Request << ": " << gsStoryEndWord(story.End)
-      << ". " << story.Cause << '\n';
+  out << "Request " << story.RequestId << ": "
+      << gsRequestOutcomeName(story.Outcome) << ". " << story.Cause << '\n';
 }
 
-void gsPrintStoryJson(gsStory const& story, std::ostream& out)
+void gsPrintStoryJson(gsRequestTimeline const& story, std::ostream& out)
 {
   nlohmann::ordered_json lines = nlohmann::ordered_json::array();
   for (gsLogRecord const& record : story.Records) {
@@ -71,8 +71,8 @@
                       { "event", record.Event },
                       { "fields", fields } });
   }
-  nlohmann::ordered_json whole{ { "request", story.Request },
-                                { "end", gsStoryEndWord(story.End) },
+  nlohmann::ordered_json whole{ { "request", story.RequestId },
+                                { "end", gsRequestOutcomeName(story.Outcome) },
                                 { "cause", story.Cause },
                                 { "lines", lines } };
   out << whole.dump(2) << '\n';
--- a/Source/Tool/gsExplain.h
+++ b/Source/Tool/gsExplain.h
@@ -9,15 +9,15 @@
 #include <string>
 #include <vector>
 
-#include "gsStory.h"
+#include "gsRequestTimeline.h"
 
 /** Reads logs from files; "-" is standard input. The file's name without its
  * ending names the host of lines that do not name one. */
-gsResult<gsStory> gsExplainFromFiles(std::string const& request,
-                                     std::vector<std::string> const& files);
+gsResult<gsRequestTimeline> gsExplainFromFiles(
+  std::string const& request, std::vector<std::string> const& files);
 
 /** Writes the story as text: a line a record, and the cause at the end. */
-void gsPrintStory(gsStory const& story, std::ostream& out);
+void gsPrintStory(gsRequestTimeline const& story, std::ostream& out);
 
 /** Writes the story as one JSON object. */
-void gsPrintStoryJson(gsStory const& story, std::ostream& out);
+void gsPrintStoryJson(gsRequestTimeline const& story, std::ostream& out);
--- a/Source/Tool/gsLogFiles.cxx
+++ b/Source/Tool/gsLogFiles.cxx
@@ -27,7 +27,7 @@
   std::size_t understood = 0;
   std::string line;
   while (std::getline(log, line)) {
-    std::optional<gsLogRecord> record = gsReadLogLine(line);
+    std::optional<gsLogRecord> record = gsParseLogLine(line);
     if (!record) {
       continue;
     }
--- a/Source/Tool/gsLosses.cxx
+++ b/Source/Tool/gsLosses.cxx
@@ -20,16 +20,17 @@
 
 std::vector<std::string> CountHeads(std::vector<std::string> first)
 {
-  for (std::size_t kind = 0; kind < gsLossKinds; ++kind) {
-    first.emplace_back(gsLossWord(static_cast<gsLossKind>(kind)));
+  for (std::size_t kind = 0; kind < gsTargetOutcomeCount; ++kind) {
+    first.emplace_back(
+      gsTargetOutcomeName(static_cast<gsTargetOutcome>(kind)));
   }
   return first;
 }
 
 std::vector<std::string> CountCells(std::vector<std::string> first,
-                                    gsLossCount const& count)
+                                    gsRequestCounts const& count)
 {
-  for (std::uint64_t number : count.By) {
+  for (std::uint64_t number : count.ByOutcome) {
     first.push_back(std::to_string(number));
   }
   return first;
@@ -37,18 +38,18 @@
 
 using Rows = std::vector<std::vector<std::string>>;
 
-std::uint64_t Lost(gsLossCount const& count)
+std::uint64_t Lost(gsRequestCounts const& count)
 {
-  return count.Requests() - count.Of(gsLossKind::InTarget);
+  return count.RequestCount() - count.OutcomeCount(gsTargetOutcome::InTarget);
 }
 
-void PrintRoutes(gsLossReport const& report, std::ostream& out)
+void PrintRoutes(gsTargetMissReport const& report, std::ostream& out)
 {
   std::vector<std::string> heading =
     CountHeads({ "route", "requests", "attempts", "not_sent", "broken" });
   Rows cells;
   for (auto const& [route, count] : report.ByRoute) {
-    cells.push_back(CountCells({ route, std::to_string(count.Requests()),
+    cells.push_back(CountCells({ route, std::to_string(count.RequestCount()),
                                  std::to_string(count.Attempts),
                                  std::to_string(count.NotSent),
                                  std::to_string(count.Broken) },
@@ -57,7 +58,7 @@
   out << gsFormatTable(heading, cells);
 }
 
-void PrintCauses(gsLossReport const& report, std::ostream& out)
+void PrintCauses(gsTargetMissReport const& report, std::ostream& out)
 {
   std::vector<std::string> heading{ "cause", "route", "requests" };
   Rows cells;
@@ -69,7 +70,7 @@
   out << gsFormatTable(heading, cells);
 }
 
-void PrintSeconds(gsLossReport const& report, std::ostream& out)
+void PrintSeconds(gsTargetMissReport const& report, std::ostream& out)
 {
   std::vector<std::string> heading = CountHeads({ "second", "route" });
   Rows cells;
@@ -83,9 +84,9 @@
   out << gsFormatTable(heading, cells);
 }
 
-void PrintUpstreams(gsLossReport const& report, std::ostream& out)
+void PrintUpstreams(gsTargetMissReport const& report, std::ostream& out)
 {
-  std::vector<std::pair<std::string, gsLossCount>> rows(
+  std::vector<std::pair<std::string, gsRequestCounts>> rows(
     report.ByUpstream.begin(), report.ByUpstream.end());
   std::sort(rows.begin(), rows.end(), [](auto const& a, auto const& b) {
     return Lost(a.second) > Lost(b.second);
@@ -95,7 +96,7 @@
   Rows cells;
   for (auto const& [upstream, count] : rows) {
     cells.push_back(
-      CountCells({ upstream, std::to_string(count.Requests()) }, count));
+      CountCells({ upstream, std::to_string(count.RequestCount()) }, count));
   }
   out << gsFormatTable(heading, cells);
 }
@@ -103,57 +104,58 @@
 std::string BesideText(gsPausedStream const& stream)
 {
   std::string text;
-  for (gsPromptBeside const& prompt : stream.Beside) {
+  for (gsConcurrentPrompt const& prompt : stream.ConcurrentPrompts) {
     text += text.empty() ? "" : ", ";
-    text += std::to_string(std::lround(prompt.ReadTokens)) + " of " +
-            prompt.Request + " (" + prompt.Route + ")";
+    text += std::to_string(std::lround(prompt.UncachedTokens)) + " of " +
+            prompt.RequestId + " (" + prompt.Route + ")";
   }
   return text;
 }
 
-void PrintPauses(gsLossReport const& report, std::ostream& out)
+void PrintPauses(gsTargetMissReport const& report, std::ostream& out)
 {
   std::vector<std::string> heading{
     "stream",   "route",     "upstream",
     "pause_ms", "target_ms", "prompt tokens read beside it"
   };
   Rows cells;
-  for (gsPausedStream const& stream : report.Pauses) {
-    cells.push_back({ stream.Request, stream.Route, stream.Upstream,
-                      std::to_string(std::lround(stream.PauseMillis)),
-                      std::to_string(std::lround(stream.TargetMillis)),
+  for (gsPausedStream const& stream : report.PausedStreams) {
+    cells.push_back({ stream.RequestId, stream.Route, stream.Upstream,
+                      std::to_string(std::lround(stream.LongestPauseMillis)),
+                      std::to_string(std::lround(stream.PauseTargetMillis)),
                       BesideText(stream) });
   }
   out << gsFormatTable(heading, cells);
 }
 
-Json CountJson(gsLossCount const& count)
+Json CountJson(gsRequestCounts const& count)
 {
-  Json json{ { "requests", count.Requests() },
+  Json json{ { "requests", count.RequestCount() },
              { "attempts", count.Attempts },
              { "not_sent", count.NotSent },
              { "broken", count.Broken } };
-  for (std::size_t kind = 0; kind < gsLossKinds; ++kind) {
-    json[gsLossWord(static_cast<gsLossKind>(kind))] = count.By[kind];
+  for (std::size_t kind = 0; kind < gsTargetOutcomeCount; ++kind) {
+    json[gsTargetOutcomeName(static_cast<gsTargetOutcome>(kind))] =
+      count.ByOutcome[kind];
   }
   return json;
 }
 
-Json PausesJson(gsLossReport const& report)
+Json PausesJson(gsTargetMissReport const& report)
 {
   Json pauses = Json::array();
-  for (gsPausedStream const& stream : report.Pauses) {
+  for (gsPausedStream const& stream : report.PausedStreams) {
     Json beside = Json::array();
-    for (gsPromptBeside const& prompt : stream.Beside) {
-      beside.push_back({ { "request", prompt.Request },
+    for (gsConcurrentPrompt const& prompt : stream.ConcurrentPrompts) {
+      beside.push_back({ { "request", prompt.RequestId },
                          { "route", prompt.Route },
-                         { "read_tokens", prompt.ReadTokens } });
+                         { "read_tokens", prompt.UncachedTokens } });
     }
-    pauses.push_back({ { "request", stream.Request },
+    pauses.push_back({ { "request", stream.RequestId },
                        { "route", stream.Route },
                        { "upstream", stream.Upstream },
-                       { "pause_ms", stream.PauseMillis },
-                       { "target_ms", stream.TargetMillis },
+                       { "pause_ms", stream.LongestPauseMillis },
+                       { "target_ms", stream.PauseTargetMillis },
                        { "beside", beside } });
   }
   return pauses;
@@ -161,28 +163,28 @@
 
 } // namespace
 
-gsResult<gsLossReport> gsLossesFromFiles(std::vector<std::string> const& files,
-                                         std::size_t pauses)
+gsResult<gsTargetMissReport> gsLossesFromFiles(
+  std::vector<std::string> const& files, std::size_t pauses)
 {
-  gsLossReader reader;
+  gsTargetMissCollector reader;
   gsResult<std::size_t> read =
     gsReadLogFiles(files, [&reader](gsLogRecord const& record) {
-      gsLossTake(reader, record);
+      gsCollectTargetMissRecord(reader, record);
     });
   if (!read) {
     return read.error();
   }
-  if (reader.Requests.empty()) {
+  if (reader.EndedRequests.empty()) {
     return gsError{ "no_requests",
                     "None of " + std::to_string(read.value()) +
                       " log lines tells the end of a request.",
                     "losses",
                     {} };
   }
-  return gsLossSum(reader, pauses);
+  return gsBuildTargetMissReport(reader, pauses);
 }
 
-void gsPrintLosses(gsLossReport const& report, std::ostream& out)
+void gsPrintLosses(gsTargetMissReport const& report, std::ostream& out)
 {
   PrintRoutes(report, out);
   out << "\nWithout a whole answer:\n";
@@ -195,7 +197,7 @@
   PrintPauses(report, out);
 }
 
-void gsPrintLossesJson(gsLossReport const& report, std::ostream& out)
+void gsPrintLossesJson(gsTargetMissReport const& report, std::ostream& out)
 {
   Json routes = Json::object();
   for (auto const& [route, count] : report.ByRoute) {
--- a/Source/Tool/gsLosses.h
+++ b/Source/Tool/gsLosses.h
@@ -11,16 +11,16 @@
 #include <string>
 #include <vector>
 
-#include "gsLossReport.h"
+#include "gsTargetMissReport.h"
 #include "gsTypes.h"
 
 /** Reads logs from files; "-" is standard input. Fails when a file cannot be
  * read or none holds a request's end. */
-gsResult<gsLossReport> gsLossesFromFiles(std::vector<std::string> const& files,
-                                         std::size_t pauses);
+gsResult<gsTargetMissReport> gsLossesFromFiles(
+  std::vector<std::string> const& files, std::size_t pauses);
 
 /** Writes the report as tables of text. */
-void gsPrintLosses(gsLossReport const& report, std::ostream& out);
+void gsPrintLosses(gsTargetMissReport const& report, std::ostream& out);
 
 /** Writes the report as one JSON object. */
-void gsPrintLossesJson(gsLossReport const& report, std::ostream& out);
+void gsPrintLossesJson(gsTargetMissReport const& report, std::ostream& out);
--- a/Source/Tool/gsNearMisses.cxx
+++ b/Source/Tool/gsNearMisses.cxx
@@ -76,12 +76,12 @@
   }
 }
 
-Cells TimesCells(Cells first, gsNearTimes const& times)
+Cells TimesCells(Cells first, gsDurationSummary const& times)
 {
   first.push_back(std::to_string(times.Count));
   first.push_back(MillisText(times.Median));
   first.push_back(MillisText(times.P95));
-  first.push_back(MillisText(times.Most));
+  first.push_back(MillisText(times.Max));
   return first;
 }
 
@@ -92,27 +92,29 @@
       << MillisText(report.LeavingBound) << " ms; clocks of hosts may differ "
       << "by some ms):\n";
   std::vector<Cells> rows;
-  if (!report.Leaving.empty()) {
+  if (!report.LeavingUpstreams.empty()) {
     rows.push_back(TimesCells(
-      { "(all " + std::to_string(report.Leaving.size()) + ")", "", "" },
-      report.LastSent));
+      { "(all " + std::to_string(report.LeavingUpstreams.size()) + ")", "",
+        "" },
+      report.LastRequestDelays));
   }
-  for (gsLeavingUpstream const& upstream : report.Leaving) {
-    if (upstream.Last.Count > 0) {
-      rows.push_back(TimesCells(
-        { upstream.Upstream, ClockText(upstream.At), upstream.FirstHost },
-        upstream.Last));
+  for (gsLeavingUpstream const& upstream : report.LeavingUpstreams) {
+    if (upstream.LastRequestDelays.Count > 0) {
+      rows.push_back(
+        TimesCells({ upstream.Upstream, ClockText(upstream.DetectedAt),
+                     upstream.FirstHost },
+                   upstream.LastRequestDelays));
     }
   }
   PrintTable({ "upstream", "leaves", "first known to", "hosts", "median_ms",
                "p95_ms", "most_ms" },
              std::move(rows), out);
-  out << "\nOf these, beyond " << Fixed(gsNearLeavingShare, 2)
+  out << "\nOf these, beyond " << Fixed(gsNearMissLeavingShare, 2)
       << " of the bound:\n";
   rows.clear();
-  for (gsLastSent const& sent : report.LateSent) {
+  for (gsLastUpstreamRequest const& sent : report.LateRequests) {
     rows.push_back(
-      { sent.Upstream, sent.Host, sent.Request, MillisText(sent.After) });
+      { sent.Upstream, sent.Host, sent.RequestId, MillisText(sent.Delay) });
   }
   PrintTable({ "upstream", "host", "request", "after_ms" }, std::move(rows),
              out);
@@ -120,22 +122,24 @@
 
 void PrintBehind(gsNearMissReport const& report, std::ostream& out)
 {
-  out << "\nKinds of which at least " << gsNearUnserved << " and over "
-      << Fixed(gsNearUnservedShare * 1e2, 1) << " % got nothing within "
-      << gsNearSpan / gsSeconds(1)
+  out << "\nKinds of which at least " << gsNearMissMinUnserved << " and over "
+      << Fixed(gsNearMissUnservedShare * 1e2, 1) << " % got nothing within "
+      << gsNearMissWindow / gsSeconds(1)
       << " s while less urgent ones began (of the worst such span):\n";
   std::vector<Cells> rows;
-  for (gsKindBehind const& behind : report.Behind) {
-    gsUnservedCount const& unserved = behind.Unserved;
+  for (gsStarvedRoute const& behind : report.StarvedRoutes) {
+    gsUnservedCounts const& unserved = behind.Unserved;
     rows.push_back(
       { ClockText(behind.From), ClockText(behind.Until),
-        ClockText(behind.Worst), behind.Service, behind.Route,
-        std::to_string(behind.Priority), std::to_string(behind.Requests),
-        Fixed(behind.Share() * 1e2, 1), std::to_string(unserved.TurnedAway),
-        std::to_string(unserved.NoUpstream),
-        std::to_string(unserved.CallerLeft), std::to_string(unserved.Cut),
-        std::to_string(unserved.TimedOut), std::to_string(behind.Failed),
-        std::to_string(behind.LessUrgent), std::to_string(behind.LargerPrompt),
+        ClockText(behind.WorstWindowAt), behind.Service, behind.Route,
+        std::to_string(behind.Priority), std::to_string(behind.RequestCount),
+        Fixed(behind.UnservedShare() * 1e2, 1),
+        std::to_string(unserved.Rejected), std::to_string(unserved.NoUpstream),
+        std::to_string(unserved.CallerLeft),
+        std::to_string(unserved.Incomplete), std::to_string(unserved.TimedOut),
+        std::to_string(behind.FailedRequests),
+        std::to_string(behind.LessUrgentStarted),
+        std::to_string(behind.LargerPromptStarted),
         behind.PromptRatio > 0 ? Fixed(behind.PromptRatio, 2) : "-" });
   }
   PrintTable({ "from", "until", "worst from", "service", "route", "priority",
@@ -149,10 +153,10 @@
 {
   out << "\nStreams closed by their host after the caller had events:\n";
   std::vector<Cells> rows;
-  for (gsClosedStreams const& closed : report.Closed) {
-    rows.push_back({ closed.Cause, closed.Route, std::to_string(closed.Count),
-                     ClockText(closed.LastAt), closed.LastHost,
-                     closed.LastRequest });
+  for (gsInterruptedStreams const& closed : report.InterruptedStreams) {
+    rows.push_back(
+      { closed.Cause, closed.Route, std::to_string(closed.StreamCount),
+        ClockText(closed.LastAt), closed.LastHost, closed.LastRequest });
   }
   PrintTable({ "cause", "route", "streams", "last at", "host", "request" },
              std::move(rows), out);
@@ -161,17 +165,18 @@
 void PrintStops(gsNearMissReport const& report, std::ostream& out)
 {
   out << "\nPlanned stops, and requests that began more than "
-      << MillisText(gsNearStopStart) << " ms after:\n";
+      << MillisText(gsNearMissStopDetectionTime) << " ms after:\n";
   std::vector<Cells> rows;
-  for (gsPlannedStop const& stop : report.Stops) {
-    bool late = stop.LateStarts > 0;
-    rows.push_back({ stop.Host, ClockText(stop.At),
-                     stop.Ended ? MillisText(stop.Took) : "no end",
-                     std::to_string(stop.Cut), std::to_string(stop.Open),
-                     std::to_string(stop.Unread),
-                     std::to_string(stop.LateStarts),
-                     late ? MillisText(stop.LastStart) : "-",
-                     late ? stop.LastRequest : "-" });
+  for (gsPlannedStop const& stop : report.PlannedStops) {
+    bool late = stop.LateRequests > 0;
+    rows.push_back({ stop.Host, ClockText(stop.StartedAt),
+                     stop.Ended ? MillisText(stop.Duration) : "no end",
+                     std::to_string(stop.InterruptedRequests),
+                     std::to_string(stop.OpenExchanges),
+                     std::to_string(stop.UnreadConnections),
+                     std::to_string(stop.LateRequests),
+                     late ? MillisText(stop.LastLateRequestDelay) : "-",
+                     late ? stop.LastLateRequest : "-" });
   }
   PrintTable({ "host", "stopping", "took_ms", "cut", "open", "unread",
                "late_starts", "last_ms", "request" },
@@ -191,9 +196,10 @@
 {
   out << "\nCopies of tables that hosts found to differ:\n";
   std::vector<Cells> rows;
-  for (gsDifferingTable const& table : report.Differing) {
-    rows.push_back({ table.Host, table.Table, std::to_string(table.Times),
-                     table.Version, table.Rows, table.Peer, table.PeerRows });
+  for (gsDivergentTable const& table : report.DivergentTables) {
+    rows.push_back({ table.Host, table.Table,
+                     std::to_string(table.DetectionCount), table.Version,
+                     table.Rows, table.Peer, table.PeerRows });
   }
   PrintTable(
     { "host", "table", "times", "last version", "rows", "peer", "peer_rows" },
@@ -201,13 +207,14 @@
   out << "\nVersions of the upstreams' table with different rows "
          "(listed/leaving):\n";
   rows.clear();
-  for (gsDifferingVersion const& version : report.Versions) {
+  for (gsDivergentVersion const& version : report.DivergentVersions) {
     std::string hosts;
-    for (auto const& [counts, names] : version.Hosts) {
+    for (auto const& [counts, names] : version.HostsByRowCounts) {
       hosts += (hosts.empty() ? "" : "; ") + counts + ": " + HostsText(names);
     }
     rows.push_back({ std::to_string(version.Version),
-                     MillisText(version.Longest), std::move(hosts) });
+                     MillisText(version.LongestDivergence),
+                     std::move(hosts) });
   }
   PrintTable({ "row_version", "longest_ms", "hosts" }, std::move(rows), out);
 }
@@ -216,118 +223,125 @@
 {
   out
     << "\nRequests of a host to an upstream that had told it that it leaves ("
-    << MillisText(gsNearWordBound) << " ms), or asked it for rest (more than "
-    << gsNearRestMost << "):\n";
+    << MillisText(gsNearMissAnnouncementGracePeriod)
+    << " ms), or asked it for rest (more than "
+    << gsNearMissMaxRetryDelayRequests << "):\n";
   std::vector<Cells> rows;
-  for (gsIgnoredWord const& word : report.Ignored) {
-    rows.push_back({ word.Upstream, word.Host,
-                     word.Leaving ? "leaves" : "rest", ClockText(word.At),
-                     std::to_string(word.Count), MillisText(word.Last),
-                     word.LastRequest });
+  for (gsIgnoredAnnouncement const& word : report.IgnoredAnnouncements) {
+    rows.push_back(
+      { word.Upstream, word.Host, word.Leaving ? "leaves" : "rest",
+        ClockText(word.AnnouncedAt), std::to_string(word.RequestCount),
+        MillisText(word.LastRequestDelay), word.LastRequest });
   }
   PrintTable(
     { "upstream", "host", "said", "at", "requests", "last_after_ms", "last" },
     std::move(rows), out);
 }
 
-Json TimesJson(gsNearTimes const& times)
+Json TimesJson(gsDurationSummary const& times)
 {
   return { { "hosts", times.Count },
            { "median_ms", Millis(times.Median) },
            { "p95_ms", Millis(times.P95) },
-           { "most_ms", Millis(times.Most) } };
+           { "most_ms", Millis(times.Max) } };
 }
 
 Json LeavingJson(gsNearMissReport const& report)
 {
   Json upstreams = Json::array();
-  for (gsLeavingUpstream const& upstream : report.Leaving) {
-    upstreams.push_back({ { "upstream", upstream.Upstream },
-                          { "at", DateText(upstream.At) },
-                          { "first_host", upstream.FirstHost },
-                          { "last_request", TimesJson(upstream.Last) } });
+  for (gsLeavingUpstream const& upstream : report.LeavingUpstreams) {
+    upstreams.push_back(
+      { { "upstream", upstream.Upstream },
+        { "at", DateText(upstream.DetectedAt) },
+        { "first_host", upstream.FirstHost },
+        { "last_request", TimesJson(upstream.LastRequestDelays) } });
   }
   Json late = Json::array();
-  for (gsLastSent const& sent : report.LateSent) {
+  for (gsLastUpstreamRequest const& sent : report.LateRequests) {
     late.push_back({ { "upstream", sent.Upstream },
                      { "host", sent.Host },
-                     { "request", sent.Request },
-                     { "after_ms", Millis(sent.After) } });
+                     { "request", sent.RequestId },
+                     { "after_ms", Millis(sent.Delay) } });
   }
   return { { "bound_ms", Millis(report.LeavingBound) },
-           { "told_share", gsNearLeavingShare },
-           { "last_request", TimesJson(report.LastSent) },
+           { "told_share", gsNearMissLeavingShare },
+           { "last_request", TimesJson(report.LastRequestDelays) },
            { "upstreams", upstreams },
            { "beyond_share", late } };
 }
 
-Json IgnoredJson(gsIgnoredWord const& word)
+Json IgnoredJson(gsIgnoredAnnouncement const& word)
 {
   return { { "upstream", word.Upstream },
            { "host", word.Host },
            { "said", word.Leaving ? "leaves" : "rest" },
-           { "at", DateText(word.At) },
-           { "requests", word.Count },
-           { "last_after_ms", Millis(word.Last) },
+           { "at", DateText(word.AnnouncedAt) },
+           { "requests", word.RequestCount },
+           { "last_after_ms", Millis(word.LastRequestDelay) },
            { "last_request", word.LastRequest } };
 }
 
-Json BehindJson(gsKindBehind const& behind)
+Json BehindJson(gsStarvedRoute const& behind)
 {
-  gsUnservedCount const& unserved = behind.Unserved;
+  gsUnservedCounts const& unserved = behind.Unserved;
   return { { "from", DateText(behind.From) },
            { "until", DateText(behind.Until) },
-           { "worst_from", DateText(behind.Worst) },
+           { "worst_from", DateText(behind.WorstWindowAt) },
            { "service", behind.Service },
            { "route", behind.Route },
            { "priority", behind.Priority },
-           { "requests", behind.Requests },
-           { "unserved_share", behind.Share() },
-           { "turned_away", unserved.TurnedAway },
+           { "requests", behind.RequestCount },
+           { "unserved_share", behind.UnservedShare() },
+           { "turned_away", unserved.Rejected },
            { "no_upstream", unserved.NoUpstream },
            { "caller_left", unserved.CallerLeft },
-           { "cut", unserved.Cut },
+           { "cut", unserved.Incomplete },
            { "timed_out", unserved.TimedOut },
-           { "failed_answer", behind.Failed },
-           { "less_urgent_begun", behind.LessUrgent },
-           { "over_twice_as_large", behind.LargerPrompt },
+           { "failed_answer", behind.FailedRequests },
+           { "less_urgent_begun", behind.LessUrgentStarted },
+           { "over_twice_as_large", behind.LargerPromptStarted },
            { "prompt_ratio", behind.PromptRatio } };
 }
 
-Json ClosedJson(gsClosedStreams const& closed)
+Json ClosedJson(gsInterruptedStreams const& closed)
 {
-  return { { "cause", closed.Cause },   { "route", closed.Route },
-           { "streams", closed.Count }, { "last_at", DateText(closed.LastAt) },
-           { "host", closed.LastHost }, { "request", closed.LastRequest } };
+  return {
+    { "cause", closed.Cause },         { "route", closed.Route },
+    { "streams", closed.StreamCount }, { "last_at", DateText(closed.LastAt) },
+    { "host", closed.LastHost },       { "request", closed.LastRequest }
+  };
 }
 
 Json StopJson(gsPlannedStop const& stop)
 {
   return { { "host", stop.Host },
-           { "stopping", DateText(stop.At) },
+           { "stopping", DateText(stop.StartedAt) },
            { "ended", stop.Ended },
-           { "took_ms", Millis(stop.Took) },
-           { "cut", stop.Cut },
-           { "open", stop.Open },
-           { "unread", stop.Unread },
-           { "late_starts", stop.LateStarts },
-           { "last_start_ms", Millis(stop.LastStart) },
-           { "request", stop.LastRequest } };
+           { "took_ms", Millis(stop.Duration) },
+           { "cut", stop.InterruptedRequests },
+           { "open", stop.OpenExchanges },
+           { "unread", stop.UnreadConnections },
+           { "late_starts", stop.LateRequests },
+           { "last_start_ms", Millis(stop.LastLateRequestDelay) },
+           { "request", stop.LastLateRequest } };
 }
 
-Json TableJson(gsDifferingTable const& table)
+Json TableJson(gsDivergentTable const& table)
 {
-  return { { "host", table.Host },         { "table", table.Table },
-           { "times", table.Times },       { "version", table.Version },
-           { "rows", table.Rows },         { "peer", table.Peer },
+  return { { "host", table.Host },
+           { "table", table.Table },
+           { "times", table.DetectionCount },
+           { "version", table.Version },
+           { "rows", table.Rows },
+           { "peer", table.Peer },
            { "peer_rows", table.PeerRows } };
 }
 
-Json VersionJson(gsDifferingVersion const& version)
+Json VersionJson(gsDivergentVersion const& version)
 {
   return { { "row_version", version.Version },
-           { "longest_ms", Millis(version.Longest) },
-           { "hosts", version.Hosts } };
+           { "longest_ms", Millis(version.LongestDivergence) },
+           { "hosts", version.HostsByRowCounts } };
 }
 
 template<typename Row>
@@ -345,10 +359,10 @@
 gsResult<gsNearMissReport> gsNearMissesFromFiles(
   std::vector<std::string> const& files, gsTime leavingBound)
 {
-  gsNearMissReader reader;
+  gsNearMissCollector reader;
   gsResult<std::size_t> read =
     gsReadLogFiles(files, [&reader](gsLogRecord const& record) {
-      gsNearMissTake(reader, record);
+      gsCollectNearMissRecord(reader, record);
     });
   if (!read) {
     return read.error();
@@ -358,7 +372,7 @@
       "no_lines", "No line is one of a daemon's log.", "near-misses", {}
     };
   }
-  return gsNearMissSum(reader, leavingBound);
+  return gsBuildNearMissReport(reader, leavingBound);
 }
 
 void gsPrintNearMisses(gsNearMissReport const& report, std::ostream& out)
@@ -373,14 +387,15 @@
 
 void gsPrintNearMissesJson(gsNearMissReport const& report, std::ostream& out)
 {
-  Json whole{ { "first_line", DateText(report.FirstAt) },
-              { "leaving", LeavingJson(report) },
-              { "ignored_words", ListJson(report.Ignored, IgnoredJson) },
-              { "behind", ListJson(report.Behind, BehindJson) },
-              { "closed_streams", ListJson(report.Closed, ClosedJson) },
-              { "stops", ListJson(report.Stops, StopJson) },
-              { "differing_tables", ListJson(report.Differing, TableJson) },
-              { "differing_versions",
-                ListJson(report.Versions, VersionJson) } };
+  Json whole{
+    { "first_line", DateText(report.FirstAt) },
+    { "leaving", LeavingJson(report) },
+    { "ignored_words", ListJson(report.IgnoredAnnouncements, IgnoredJson) },
+    { "behind", ListJson(report.StarvedRoutes, BehindJson) },
+    { "closed_streams", ListJson(report.InterruptedStreams, ClosedJson) },
+    { "stops", ListJson(report.PlannedStops, StopJson) },
+    { "differing_tables", ListJson(report.DivergentTables, TableJson) },
+    { "differing_versions", ListJson(report.DivergentVersions, VersionJson) }
+  };
   out << whole.dump(2) << '\n';
 }
--- a/Source/Tool/gsRestClient.h
+++ b/Source/Tool/gsRestClient.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <string_view>
 
-#include "gsFields.h"
+#include "gsFieldReader.h"
 #include "gsHttpClient.h"
 
 /** Where a daemon's operators' interface is. */
--- a/Source/Tool/gsTool.cxx
+++ b/Source/Tool/gsTool.cxx
@@ -34,7 +34,7 @@
   std::string Key;
   std::vector<std::string> Files{ "-" };
   std::size_t Pauses = 20; ///< Streams that losses shows.
-  double LeavingMillis = gsToSeconds(gsNearLeavingBound) * 1e3;
+  double LeavingMillis = gsToSeconds(gsNearMissLeavingBound) * 1e3;
   gsAssignments Assigned;
   gsSendOptions Send;
 
@@ -253,7 +253,7 @@
     CLI::App* explain =
       this->Add(&this->App, "explain",
                 "Tell what became of a request, from logs.", [this]() -> int {
-                  gsResult<gsStory> story =
+                  gsResult<gsRequestTimeline> story =
                     gsExplainFromFiles(this->Name, this->Files);
                   if (!story) {
                     return gsToolFail(story.error());
@@ -276,7 +276,7 @@
       &this->App, "losses",
       "Tell where requests lose their targets, from the logs of all hosts.",
       [this]() -> int {
-        gsResult<gsLossReport> report =
+        gsResult<gsTargetMissReport> report =
           gsLossesFromFiles(this->Files, this->Pauses);
         if (!report) {
           return gsToolFail(report.error());
@@ -363,7 +363,7 @@
                      argc - i, argv + i);
       return;
     }
-    std::optional<std::string> meant = gsDidYouMean(word, names);
+    std::optional<std::string> meant = gsSuggestSpelling(word, names);
     if (meant) {
       std::cerr << "Did you mean '" << *meant << "'?\n";
       return;
--- a/Tests/Bench/gsCoreBench.cxx
+++ b/Tests/Bench/gsCoreBench.cxx
@@ -21,9 +21,9 @@
 
 namespace {
 
-gsAsk MakeAsk(std::uint64_t sequence, std::uint64_t organisations)
+gsGrantRequest MakeAsk(std::uint64_t sequence, std::uint64_t organisations)
 {
-  gsAsk ask;
+  gsGrantRequest ask;
   ask.Id = { 0x1234567890abcdefULL, sequence, 1 };
   ask.Pool = "model-name@hall-name";
   ask.Organisation = "organisation" + std::to_string(sequence % organisations);
@@ -31,9 +31,9 @@
   ask.Tier = sequence % 7;
   ask.PromptTokens = 1000;
   ask.MaxWait = gsSeconds(30);
-  ask.Affinity = gsHashText(ask.Organisation);
-  ask.FirstToken = gsMilliseconds(490);
-  ask.TokenGap = gsMilliseconds(70);
+  ask.AffinityHash = gsHashText(ask.Organisation);
+  ask.FirstTokenTarget = gsMilliseconds(490);
+  ask.TokenIntervalTarget = gsMilliseconds(70);
   return ask;
 }
 
@@ -63,7 +63,8 @@
   }
   while (state.KeepRunning()) {
     now += gsTime(100);
-    gsRelease(pool, running.front(), gsOutcome::Whole, {}, now, out);
+    gsReleaseGrant(pool, running.front(), gsGrantOutcome::Completed, {}, now,
+                   out);
     running.pop_front();
     gsAdmit(pool, MakeAsk(sequence++, organisations), 0, now);
     gsPoolOutput granted;
@@ -101,7 +102,7 @@
     other.Host = "host-" + std::to_string(i);
     other.Hall = "hall-" + std::to_string(i % 6);
     other.Address = "10.0.0.1:8082";
-    gsMembershipLearn(table, other, gsTime(0), ignored);
+    gsMembershipApplyUpdate(table, other, gsTime(0), ignored);
   }
   gsRandom random(1);
   gsTime now = gsSeconds(1);
@@ -195,10 +196,10 @@
     }
     now += gsMilliseconds(20);
     auto batch = gsClaimsTick(claims, now);
-    std::vector<gsTableResult> results(batch->Ops.size(),
+    std::vector<gsTableResult> results(batch->Operations.size(),
                                        { true, std::string(80, 'v') });
     out.clear();
-    gsClaimsAnswered(claims, batch->Number, results, out);
+    gsClaimsProcessResults(claims, batch->Number, results, out);
   }
   state.SetItemsProcessed(state.iterations() * state.range(0));
 }
@@ -208,7 +209,7 @@
 void RequestMessages(benchmark::State& state)
 {
   gsGrant grant;
-  gsAsk ask = MakeAsk(1, 340);
+  gsGrantRequest ask = MakeAsk(1, 340);
   grant.Id = ask.Id;
   grant.Pool = ask.Pool;
   grant.Upstream = "upstream-123";
@@ -253,7 +254,7 @@
 {
   gsListedUpstream upstream;
   upstream.Id = "i-" + std::to_string(number);
-  upstream.Born = 1 + number;
+  upstream.StartedAt = 1 + number;
   upstream.Service = "model";
   upstream.Address = "10.0.0.1:8080";
   upstream.Hall = std::string(1, static_cast<char>('a' + number % 6));
@@ -266,7 +267,7 @@
   gsFleet fleet;
   fleet.Settings.Hall = "a";
   for (std::size_t i = 0; i < upstreams; ++i) {
-    gsFleetPut(fleet, ListedEngine(i), gsTime{});
+    gsFleetUpsert(fleet, ListedEngine(i), gsTime{});
   }
   return fleet;
 }
@@ -283,12 +284,12 @@
     std::vector<gsPromptPart> parts{ { 1, 500 },
                                      { subject, 5000 },
                                      { subject + 1'000'000, 600 } };
-    gsPlacementAsk ask;
+    gsPlacementRequest ask;
     ask.Service = "model";
     ask.Parts = &parts;
     ask.PromptTokens = 6100;
     ask.Hosts = 986;
-    benchmark::DoNotOptimize(gsPlace(fleet, ask, now, random));
+    benchmark::DoNotOptimize(gsPlaceRequest(fleet, ask, now, random));
   }
 }
 BENCHMARK(PlaceAmong)
@@ -311,10 +312,10 @@
     for (std::size_t i = 0; i < 300; ++i, ++next) {
       gsListedUpstream fresh = ListedEngine(next);
       std::string gone = ListedEngine(next - upstreams).Id;
-      gsListTake(list, fresh.Id, ++version, fresh);
-      gsFleetPut(fleet, fresh, gsTime{});
-      gsListRemove(list, gone);
-      gsFleetDrop(fleet, gone);
+      gsListApplyRow(list, fresh.Id, ++version, fresh);
+      gsFleetUpsert(fleet, fresh, gsTime{});
+      gsListRemoveRow(list, gone);
+      gsFleetRemove(fleet, gone);
     }
   }
 }
@@ -340,14 +341,14 @@
 {
   gsQuarantine table;
   for (std::uint32_t i = 0; i < 2048; ++i) {
-    gsQuarantineTake(
+    gsQuarantineMergeReport(
       table, { { i, i }, i % 340, { i, gsCrashVerdict::Crashed, {}, {} } },
       {});
   }
   std::uint64_t next = 0;
   while (state.KeepRunning()) {
     gsFingerprint const print{ next, next };
-    benchmark::DoNotOptimize(gsSuspicionOf(table, print, {}));
+    benchmark::DoNotOptimize(gsSuspicionLevelOf(table, print, {}));
     next = (next + 1) % 4096;
   }
 }
--- a/Tests/Failure/gsTestConfiguration.cxx
+++ b/Tests/Failure/gsTestConfiguration.cxx
@@ -34,7 +34,7 @@
     std::uint64_t last = 0;
     for (auto const& line : system.Log(host, "config_in_force")) {
       std::uint64_t version =
-        std::stoull(std::string(gsFieldOf(line, "version")));
+        std::stoull(std::string(gsLogFieldValue(line, "version")));
       EXPECT_GE(version, last) << host;
       last = version;
     }
--- a/Tests/Failure/gsTestPlannedStop.cxx
+++ b/Tests/Failure/gsTestPlannedStop.cxx
@@ -92,7 +92,7 @@
   EXPECT_TRUE(streams.Bad.empty()) << streams.Bad.front();
   for (std::string const& host : system.HostNames()) {
     for (auto const& line : system.Log(host, "stopped")) {
-      EXPECT_EQ(gsFieldOf(line, "cut"), "0");
+      EXPECT_EQ(gsLogFieldValue(line, "cut"), "0");
     }
   }
 }
--- a/Tests/Failure/gsTestSystem.cxx
+++ b/Tests/Failure/gsTestSystem.cxx
@@ -585,7 +585,7 @@
     std::ifstream file(log);
     std::string line;
     while (std::getline(file, line)) {
-      std::optional<gsLogRecord> record = gsReadLogLine(line);
+      std::optional<gsLogRecord> record = gsParseLogLine(line);
       if (record && record->Event == event) {
         records.push_back(std::move(*record));
       }
--- a/Tests/Failure/gsTestTiers.cxx
+++ b/Tests/Failure/gsTestTiers.cxx
@@ -16,11 +16,11 @@
   for (std::string const& host : system.HostNames()) {
     for (auto const& line : system.Log(host, "refuse")) {
       ++refusals;
-      std::string_view cause = gsFieldOf(line, "cause");
+      std::string_view cause = gsLogFieldValue(line, "cause");
       if (cause == "expired") {
-        EXPECT_EQ(gsFieldOf(line, "lower_granted"), "0") << host;
+        EXPECT_EQ(gsLogFieldValue(line, "lower_granted"), "0") << host;
       } else if (cause != "no_upstream") {
-        EXPECT_EQ(gsFieldOf(line, "lower_waiting"), "0")
+        EXPECT_EQ(gsLogFieldValue(line, "lower_waiting"), "0")
           << host << " " << cause;
       }
     }
--- a/Tests/Replay/gsReplay.cxx
+++ b/Tests/Replay/gsReplay.cxx
@@ -93,7 +93,7 @@
       row.Adaptive = this->Options.Adaptive;
       pool.Upstreams.push_back(row);
     }
-    gsTierOf(pool, 2);
+    gsTierQueueOf(pool, 2);
     return pool;
   }
 
@@ -138,7 +138,7 @@
       this->Requests.push_back(request);
       ++this->Open;
       ++this->Result.Classes[row.Class].Arrived;
-      gsRetryEarn(this->Budget);
+      gsEarnRetry(this->Budget);
       this->Queue(this->Requests.size() - 1, now, "");
     }
   }
@@ -152,19 +152,19 @@
       this->Queues[request.Host].push_back(index);
       return;
     }
-    gsAsk ask;
+    gsGrantRequest ask;
     ask.Id = this->IdOf(index);
     ask.Organisation =
       this->Options.Shares ? request.Trace->Organisation : "all";
     ask.Template = request.Class->Name;
     ask.Tier = request.Class->Tier;
     ask.PromptTokens = request.Trace->PromptTokens;
-    ask.Waited = now - request.Trace->At;
+    ask.PriorWaitTime = now - request.Trace->At;
     ask.MaxWait = request.Class->MaxWait;
-    ask.FirstToken = request.Class->FirstToken;
-    ask.TokenGap = request.Class->TokenGap;
-    ask.Affinity = request.Trace->Context;
-    ask.Avoid = avoid;
+    ask.FirstTokenTarget = request.Class->FirstToken;
+    ask.TokenIntervalTarget = request.Class->TokenGap;
+    ask.AffinityHash = request.Trace->Context;
+    ask.AvoidUpstream = avoid;
     gsAdmit(this->PoolOf(request), ask, 0, now);
   }
 
@@ -236,9 +236,10 @@
       for (std::size_t i = 0; report && i < this->Engines.size(); ++i) {
         std::string name = "e" + std::to_string(i);
         bool answered = this->Engines[i].Speed > 0;
-        gsNotePoll(pool, name, answered, now, out);
+        gsRecordPoll(pool, name, answered, now, out);
         if (answered) {
-          gsReportLoad(pool, name, gsEngineReport(this->Engines[i], now));
+          gsApplyUpstreamLoad(pool, name,
+                              gsEngineReport(this->Engines[i], now));
         }
       }
       gsPoolTick(pool, now, out);
@@ -248,8 +249,8 @@
       }
       for (gsRefusal const& refusal : out.Refusals) {
         bool bad = refusal.Cause == gsRefusalCause::Expired
-                     ? refusal.LowerGranted > 0
-                     : refusal.LowerWaiting > 0;
+                     ? refusal.LowerTierGrants > 0
+                     : refusal.LowerTierWaiting > 0;
         this->Result.BadRefusals += bad ? 1 : 0;
         this->Refuse(refusal.Id.Sequence, now);
       }
@@ -265,32 +266,33 @@
     this->NoteWait(request, now);
   }
 
-  void Release(std::size_t index, gsOutcome outcome, double tokens, gsTime now)
+  void Release(std::size_t index, gsGrantOutcome outcome, double tokens,
+               gsTime now)
   {
     Request const& request = this->Requests[index];
     if (this->Options.Policy == gsPolicy::RoundRobin) {
       --this->RunningAt[request.Host];
       return;
     }
-    gsMeasured measured;
+    gsGrantMeasurements measured;
     measured.Tokens = static_cast<std::uint64_t>(tokens);
     gsPoolOutput out;
-    gsRelease(this->PoolOf(request), this->IdOf(index), outcome, measured, now,
-              out);
+    gsReleaseGrant(this->PoolOf(request), this->IdOf(index), outcome, measured,
+                   now, out);
   }
 
-  void Retry(std::size_t index, gsRan ran, gsTime now)
+  void Retry(std::size_t index, gsExecuted ran, gsTime now)
   {
     Request& request = this->Requests[index];
     gsFailedAttempt attempt;
-    attempt.Ran = ran;
-    attempt.Repeatable = request.Class->Repeatable;
-    attempt.CallerHasBytes =
+    attempt.Executed = ran;
+    attempt.IsRepeatable = request.Class->Repeatable;
+    attempt.ResponseStarted =
       request.Trace->Stream && request.First.count() > 0;
     attempt.Attempts = request.Attempt;
     attempt.Now = now;
     attempt.Deadline = request.Trace->At + request.Class->MaxWait;
-    if (gsDecideAfterFailure(attempt, this->Budget) == gsAfterFailure::Retry) {
+    if (gsDecideRetry(attempt, this->Budget) == gsRetryDecision::Retry) {
       request.First = gsTime{};
       this->Queue(index, now, "e" + std::to_string(request.Engine));
       return;
@@ -302,14 +304,14 @@
 
   void OnRefusedConnection(std::size_t index, gsTime now)
   {
-    this->Release(index, gsOutcome::Refused, 0, now);
-    this->Retry(index, gsRan::No, now);
+    this->Release(index, gsGrantOutcome::ConnectionRefused, 0, now);
+    this->Retry(index, gsExecuted::No, now);
   }
 
   void OnLost(gsEngineRequest const& lost, gsTime now)
   {
-    this->Release(lost.Request, gsOutcome::Failed, lost.Done, now);
-    this->Retry(lost.Request, gsRan::Unknown, now);
+    this->Release(lost.Request, gsGrantOutcome::Failed, lost.Done, now);
+    this->Retry(lost.Request, gsExecuted::Unknown, now);
   }
 
   void RunEngines(gsTime now)
@@ -324,8 +326,8 @@
         request.ReportedTokens = first.Done;
         if (this->Options.Policy != gsPolicy::RoundRobin &&
             request.Trace->Stream) {
-          gsObserve(this->PoolOf(request), this->IdOf(first.Request),
-                    now - request.Sent, gsTime{});
+          gsRecordLatency(this->PoolOf(request), this->IdOf(first.Request),
+                          now - request.Sent, gsTime{});
         }
       }
       if (this->Options.Policy != gsPolicy::RoundRobin) {
@@ -349,8 +351,8 @@
       }
       double gap = gsToSeconds(now - request.ReportedAt) /
                    (running.Done - request.ReportedTokens);
-      gsObserve(this->PoolOf(request), this->IdOf(running.Request), gsTime{},
-                gsFromSeconds(gap));
+      gsRecordLatency(this->PoolOf(request), this->IdOf(running.Request),
+                      gsTime{}, gsFromSeconds(gap));
       request.ReportedAt = now;
       request.ReportedTokens = running.Done;
     }
@@ -372,9 +374,9 @@
         request.Class->FirstToken +
           request.Class->TokenGap * static_cast<std::int64_t>(ended.Tokens);
       if (this->Options.Policy != gsPolicy::RoundRobin) {
-        gsObserve(this->PoolOf(request), this->IdOf(ended.Request), gsTime{},
-                  (now - request.Sent) /
-                    static_cast<std::int64_t>(ended.Tokens));
+        gsRecordLatency(
+          this->PoolOf(request), this->IdOf(ended.Request), gsTime{},
+          (now - request.Sent) / static_cast<std::int64_t>(ended.Tokens));
       }
     }
     ++result.Whole;
@@ -384,7 +386,7 @@
     this->Result.Useful += ended.Tokens;
     request.At = Phase::Ended;
     --this->Open;
-    this->Release(ended.Request, gsOutcome::Whole, ended.Tokens, now);
+    this->Release(ended.Request, gsGrantOutcome::Completed, ended.Tokens, now);
   }
 
   /** Capacity counts while demand is there to use it. */
--- a/Tests/Replay/gsReplayTool.cxx
+++ b/Tests/Replay/gsReplayTool.cxx
@@ -43,15 +43,17 @@
   };
   without("no adaptive limit", [](gsReplayOptions& o) { o.Adaptive = false; });
   without("no in-target first",
-          [](gsReplayOptions& o) { o.Pool.InTargetFirst = false; });
-  without("no headroom", [](gsReplayOptions& o) { o.Pool.HeadroomMost = 0; });
+          [](gsReplayOptions& o) { o.Pool.ServeInTargetFirst = false; });
+  without("no headroom",
+          [](gsReplayOptions& o) { o.Pool.MaxHeadroomShare = 0; });
   without("no engine priorities",
           [](gsReplayOptions& o) { o.Priorities = false; });
-  without("no affinity", [](gsReplayOptions& o) { o.Pool.Affinity = false; });
+  without("no affinity",
+          [](gsReplayOptions& o) { o.Pool.UseAffinity = false; });
   without("no shares", [](gsReplayOptions& o) { o.Shares = false; });
   without("no ejection", [](gsReplayOptions& o) {
     o.Pool.OutlierFactor = 1e9;
-    o.Pool.EjectAfter = 1000000;
+    o.Pool.EjectAfterFailures = 1000000;
   });
 }
 
--- a/Tests/Route/gsRouteBench.cxx
+++ b/Tests/Route/gsRouteBench.cxx
@@ -25,7 +25,7 @@
   this->Gateway = std::make_unique<gsRouteGateway>(this->Loop, this->Upstreams,
                                                    this->Adapter, this->Fleet,
                                                    this->Metrics, settings, 1);
-  this->RateLimiter.Serve(*this->Gateway);
+  this->RateLimiter.ConnectGateway(*this->Gateway);
   gsHttpServerSettings server;
   server.Address = "127.0.0.1:0";
   this->Server =
@@ -37,7 +37,7 @@
                 .value());
   gsRouteTable table = this->MakeTable();
   gsIndexRoutes(table);
-  this->Gateway->TakeRoutes(
+  this->Gateway->SetRoutes(
     std::make_shared<gsRouteTable const>(std::move(table)));
 }
 
@@ -52,7 +52,7 @@
     route.Prefix = "/" + name + "/";
     route.Shares = { { "model", 1.0 } };
     route.Timeout = gsSeconds(4);
-    route.Target = gsMilliseconds(300);
+    route.LatencyTarget = gsMilliseconds(300);
     return route;
   };
   gsRouteTable table;
@@ -61,11 +61,11 @@
                    make("resume"), make("open"), make("patient") };
   table.Routes[1].Repeatable = true;
   table.Routes[1].MaxAttempts = 2;
-  table.Routes[2].Events = true;
-  table.Routes[3].Events = true;
+  table.Routes[2].StreamsEvents = true;
+  table.Routes[3].StreamsEvents = true;
   table.Routes[3].Resumable = true;
   table.Routes[3].MaxAttempts = 2;
-  table.Routes[4].Anonymous = true;
+  table.Routes[4].AllowsAnonymous = true;
   table.Routes[5].Priority = 5;
   table.Organisations = { { "club", { "key-one" }, {} } };
   return table;
@@ -94,7 +94,7 @@
       std::find(leaving.begin(), leaving.end(), entry.Id) != leaving.end();
     listed.push_back(entry);
   }
-  gsFleetTake(this->Fleet, listed);
+  gsFleetReplaceListing(this->Fleet, listed);
 }
 
 gsCallerViewPtr gsRouteBench::Send(gsCallerSends const& sends)
--- a/Tests/Route/gsTestForeignRows.cxx
+++ b/Tests/Route/gsTestForeignRows.cxx
@@ -134,7 +134,7 @@
     Json row = GoodRow();
     Spoil(row, random);
     std::string text = Text(row, random);
-    gsResult<gsListedUpstream> read = adapter.ReadUpstream("i-1", text);
+    gsResult<gsListedUpstream> read = adapter.ParseUpstream("i-1", text);
     unreadable += read ? 0 : 1;
     if (read) {
       ExpectSound(read.value(), text);
@@ -146,32 +146,32 @@
 TEST(ForeignRows, EachFieldThatIsMissingOrOfAnotherTypeIsNoticed)
 {
   gsAdapter adapter = gsMakeAdapter();
-  ASSERT_TRUE(adapter.ReadUpstream("i-1", GoodRow().dump()).has_value());
+  ASSERT_TRUE(adapter.ParseUpstream("i-1", GoodRow().dump()).has_value());
   for (char const* field : { "service", "address", "zone", "version",
                              "capacity_slots", "state", "call_seq" }) {
     Json missing = GoodRow();
     missing.erase(field);
-    EXPECT_FALSE(adapter.ReadUpstream("i-1", missing.dump()).has_value())
+    EXPECT_FALSE(adapter.ParseUpstream("i-1", missing.dump()).has_value())
       << field;
     for (Json const& other : { Json(nullptr), Json(-3), Json(true),
                                Json::array(), Json::object() }) {
       Json row = GoodRow();
       row[field] = other;
-      EXPECT_FALSE(adapter.ReadUpstream("i-1", row.dump()).has_value())
+      EXPECT_FALSE(adapter.ParseUpstream("i-1", row.dump()).has_value())
         << row.dump();
     }
   }
   for (Json const& born : { Json("x"), Json(-3), Json(1.5), Json(nullptr) }) {
     Json row = GoodRow();
     row["born"] = born;
-    EXPECT_FALSE(adapter.ReadUpstream("i-1", row.dump()).has_value())
+    EXPECT_FALSE(adapter.ParseUpstream("i-1", row.dump()).has_value())
       << row.dump();
   }
   Json unknown = GoodRow();
   unknown["state"] = "resting";
-  EXPECT_FALSE(adapter.ReadUpstream("i-1", unknown.dump()).has_value());
+  EXPECT_FALSE(adapter.ParseUpstream("i-1", unknown.dump()).has_value());
   EXPECT_FALSE(
-    adapter.ReadUpstream("i\r\nX: y", GoodRow().dump()).has_value());
+    adapter.ParseUpstream("i\r\nX: y", GoodRow().dump()).has_value());
 }
 
 TEST(ForeignRows, AnEarlierReleaseThatTellsNoBirthIsRead)
@@ -179,9 +179,9 @@
   Json row = GoodRow();
   row.erase("born");
   gsResult<gsListedUpstream> read =
-    gsMakeAdapter().ReadUpstream("i-1", row.dump());
+    gsMakeAdapter().ParseUpstream("i-1", row.dump());
   ASSERT_TRUE(read.has_value());
-  EXPECT_EQ(read.value().Born, 0U);
+  EXPECT_EQ(read.value().StartedAt, 0U);
 }
 
 TEST(ForeignRows, SpoiltConfigurationsAndPagesAreReadOrRefused)
@@ -191,7 +191,7 @@
   for (int i = 0; i < Rounds; ++i) {
     Json routes = GoodRoutes();
     Spoil(routes, random);
-    gsResult<gsRouteTable> table = adapter.ReadRoutes(Text(routes, random));
+    gsResult<gsRouteTable> table = adapter.ParseRoutes(Text(routes, random));
     if (table) {
       gsIndexRoutes(table.value());
     }
@@ -201,6 +201,6 @@
     answer.End.Whole = true;
     answer.End.Status = 200;
     answer.Body = Text(page, random);
-    adapter.ReadPage(answer);
+    adapter.ParseTableResponse(answer);
   }
 }
--- a/Tests/Route/gsTestPlatformAdapter.cxx
+++ b/Tests/Route/gsTestPlatformAdapter.cxx
@@ -54,7 +54,7 @@
 
 TEST(PlatformAdapter, ReadsTheConfiguration)
 {
-  gsResult<gsRouteTable> read = gsMakeAdapter().ReadRoutes(Configuration);
+  gsResult<gsRouteTable> read = gsMakeAdapter().ParseRoutes(Configuration);
   ASSERT_TRUE(read.has_value()) << read.error().Message;
   gsRouteTable const& table = read.value();
   EXPECT_EQ(table.Version, 7U);
@@ -62,25 +62,25 @@
   gsRoute const& query = table.Routes[0];
   EXPECT_EQ(query.Host, "ab.example");
   EXPECT_EQ(query.Prefix, "/q/");
-  EXPECT_TRUE(query.Events);
+  EXPECT_TRUE(query.StreamsEvents);
   EXPECT_TRUE(query.Resumable);
   EXPECT_FALSE(query.Repeatable);
   EXPECT_EQ(query.MaxAttempts, 2U);
   EXPECT_EQ(query.Timeout, gsSeconds(12));
-  EXPECT_EQ(query.GapTarget, gsMilliseconds(150));
+  EXPECT_EQ(query.EventIntervalTarget, gsMilliseconds(150));
   ASSERT_EQ(query.Shares.size(), 1U);
   EXPECT_EQ(query.Shares[0].Service, "model");
   gsRoute const& card = table.Routes[1];
-  EXPECT_FALSE(card.Events);
-  EXPECT_TRUE(card.Anonymous);
+  EXPECT_FALSE(card.StreamsEvents);
+  EXPECT_TRUE(card.AllowsAnonymous);
   EXPECT_EQ(card.Timeout, gsTime(800500));
   ASSERT_EQ(card.Shares.size(), 2U);
   EXPECT_EQ(card.Shares[1].Service, "new");
   ASSERT_TRUE(table.Services[0].Engine.has_value());
   EXPECT_EQ(table.Services[0].Engine->MemoryTokens, 532839U);
-  EXPECT_TRUE(table.Services[0].Engine->HandsOver);
+  EXPECT_TRUE(table.Services[0].Engine->CanTransferParts);
   EXPECT_FALSE(table.Services[1].Engine.has_value());
-  EXPECT_EQ(table.Limits.BodyBytes, 100U);
+  EXPECT_EQ(table.Limits.MaxBodyBytes, 100U);
   ASSERT_EQ(table.Organisations.size(), 1U);
   EXPECT_EQ(table.Organisations[0].Keys.size(), 2U);
   EXPECT_EQ(table.Organisations[0].Priority, 1U);
@@ -93,19 +93,19 @@
        { "", "{", "[]", "{}", R"({"version": "x", "routes": []})",
          R"({"version": 1, "routes": [{"host": "a"}]})",
          R"({"version": 1, "routes": 3})" }) {
-    EXPECT_FALSE(adapter.ReadRoutes(text).has_value()) << text;
+    EXPECT_FALSE(adapter.ParseRoutes(text).has_value()) << text;
   }
   for (std::string const text :
        { "", "{}", R"({"service": "s"})",
          R"({"service": "s", "address": "nowhere"})",
          R"({"service": 1, "address": "10.0.0.1:80"})" }) {
-    EXPECT_FALSE(adapter.ReadUpstream("i-1", text).has_value()) << text;
+    EXPECT_FALSE(adapter.ParseUpstream("i-1", text).has_value()) << text;
   }
 }
 
 TEST(PlatformAdapter, ReadsAnUpstreamsRow)
 {
-  gsResult<gsListedUpstream> read = gsMakeAdapter().ReadUpstream(
+  gsResult<gsListedUpstream> read = gsMakeAdapter().ParseUpstream(
     "i-7", R"({"service":"model","address":"10.1.0.9:8080","zone":"north",
                "version":"v1","capacity_slots":48,"state":"draining",
                "call_seq":4})");
@@ -121,16 +121,20 @@
   gsAdapter adapter = gsMakeAdapter();
   gsHeaders leaving{ { "server-leaving", "1" } };
   for (unsigned status : { 200U, 404U, 429U, 500U, 503U }) {
-    EXPECT_TRUE(adapter.ReadAnswer(status, leaving).Word.Leaving) << status;
+    EXPECT_TRUE(
+      adapter.ParseResponseHead(status, leaving).Announcement.Leaving)
+      << status;
   }
-  EXPECT_TRUE(adapter.ReadAnswer(200, {}).Word.Empty());
+  EXPECT_TRUE(adapter.ParseResponseHead(200, {}).Announcement.IsEmpty());
   gsHeaders rest{ { "retry-after", "1" }, { "retry-after", "2.5" } };
-  EXPECT_EQ(adapter.ReadAnswer(503, rest).Word.Rest, gsMilliseconds(2500));
-  EXPECT_EQ(adapter.ReadAnswer(429, rest).Word.Rest, gsMilliseconds(2500));
-  EXPECT_TRUE(adapter.ReadAnswer(200, rest).Word.Empty());
+  EXPECT_EQ(adapter.ParseResponseHead(503, rest).Announcement.RetryAfter,
+            gsMilliseconds(2500));
+  EXPECT_EQ(adapter.ParseResponseHead(429, rest).Announcement.RetryAfter,
+            gsMilliseconds(2500));
+  EXPECT_TRUE(adapter.ParseResponseHead(200, rest).Announcement.IsEmpty());
   gsHeaders limit{ { "server-limit", "3" }, { "server-limit", "2.9" } };
-  EXPECT_EQ(adapter.ReadAnswer(200, limit).Word.RateLimit, 2.9);
-  EXPECT_FALSE(adapter.ReadAnswer(200, {}).Word.RateLimit);
+  EXPECT_EQ(adapter.ParseResponseHead(200, limit).Announcement.RateLimit, 2.9);
+  EXPECT_FALSE(adapter.ParseResponseHead(200, {}).Announcement.RateLimit);
 }
 
 // Another upstream has the address by then: it speaks of itself.
@@ -139,42 +143,45 @@
   gsHeaders headers{ { "server-leaving", "1" },
                      { "retry-after", "9" },
                      { "server-limit", "3" } };
-  gsUpstreamWord word = gsMakeAdapter().ReadAnswer(421, headers).Word;
-  EXPECT_TRUE(word.Empty());
+  gsUpstreamAnnouncement word =
+    gsMakeAdapter().ParseResponseHead(421, headers).Announcement;
+  EXPECT_TRUE(word.IsEmpty());
   EXPECT_FALSE(word.RateLimit);
 }
 
 TEST(PlatformAdapter, ReadsPagesOfRows)
 {
   gsAdapter adapter = gsMakeAdapter();
-  gsTableAnswer read = adapter.ReadPage(Answer(
+  gsTableReadResult read = adapter.ParseTableResponse(Answer(
     200, R"({"records":[{"table":"t","part":"","tls_key":"a","value":"aGk=",
              "ver":4},{"tls_key":"b","gone":true,"ver":5}],
              "more":true,"ver":9,"now_ms":1})"));
   ASSERT_TRUE(read.Page.has_value());
   EXPECT_EQ(read.Page->Version, 9U);
-  EXPECT_TRUE(read.Page->More);
+  EXPECT_TRUE(read.Page->HasMore);
   ASSERT_EQ(read.Page->Rows.size(), 2U);
   EXPECT_EQ(read.Page->Rows[0].Value, "hi");
   EXPECT_TRUE(read.Page->Rows[1].Removed);
-  EXPECT_EQ(adapter.ReadPage(Answer(410, "")).Fault,
-            gsTableFault::HistoryGone);
-  EXPECT_EQ(adapter.ReadPage(Answer(429, "")).Fault, gsTableFault::TurnedAway);
-  EXPECT_EQ(adapter.ReadPage(Answer(200, "{")).Fault, gsTableFault::NoAnswer);
+  EXPECT_EQ(adapter.ParseTableResponse(Answer(410, "")).Error,
+            gsTableReadError::HistoryExpired);
+  EXPECT_EQ(adapter.ParseTableResponse(Answer(429, "")).Error,
+            gsTableReadError::Rejected);
+  EXPECT_EQ(adapter.ParseTableResponse(Answer(200, "{")).Error,
+            gsTableReadError::NoAnswer);
   gsAnswer broken = Answer(200, R"({"records":[],"ver":1})");
   broken.End.Whole = false;
-  EXPECT_FALSE(adapter.ReadPage(broken).Page.has_value());
+  EXPECT_FALSE(adapter.ParseTableResponse(broken).Page.has_value());
 }
 
 TEST(PlatformAdapter, AsksForRowsByName)
 {
   gsAdapter adapter = gsMakeAdapter();
-  EXPECT_EQ(adapter.ReadTable("10.0.0.1:80", "t", "").Url,
+  EXPECT_EQ(adapter.MakeReadCall("10.0.0.1:80", "t", "").Url,
             "http://10.0.0.1:80/api/rows-get?table=t&part=&limit=500");
-  EXPECT_EQ(adapter.ReadTable("10.0.0.1:80", "t", "a/b").Url,
+  EXPECT_EQ(adapter.MakeReadCall("10.0.0.1:80", "t", "a/b").Url,
             "http://10.0.0.1:80/api/rows-get?table=t&part=&limit=500"
             "&source=a%2Fb");
-  EXPECT_EQ(adapter.WatchTable("10.0.0.1:80", "t", 530, gsSeconds(2)).Url,
+  EXPECT_EQ(adapter.MakeWatchCall("10.0.0.1:80", "t", 530, gsSeconds(2)).Url,
             "http://10.0.0.1:80/api/rows-feed?table=t&after=530&wait_ms=2000");
 }
 
@@ -184,13 +191,13 @@
   request.Headers = { { "Host", "ab.example" },
                       { "Gradescale-Attempt-Id", "x" } };
   request.PromptTokens = 100;
-  gsAttemptFacts facts;
+  gsAttemptMetadata facts;
   facts.UpstreamId = "i-1";
   facts.Organisation = "club";
-  facts.DeadlineLeft = gsTime(1499600);
+  facts.TimeToDeadline = gsTime(1499600);
   facts.Urgency = 12;
-  facts.LastEvent = 4;
-  gsHeaders headers = gsMakeAdapter().AttemptHeaders(request, facts);
+  facts.LastEventId = 4;
+  gsHeaders headers = gsMakeAdapter().MakeAttemptHeaders(request, facts);
   EXPECT_EQ(HeaderOf(headers, "Host"), "ab.example");
   EXPECT_EQ(HeaderOf(headers, "Gradescale-Expect-Instance"), "i-1");
   EXPECT_EQ(HeaderOf(headers, "Gradescale-Tenant"), "club");
@@ -198,29 +205,29 @@
   EXPECT_EQ(HeaderOf(headers, "Gradescale-Request-Urgency"), "9");
   EXPECT_EQ(HeaderOf(headers, "Last-Event-Id"), "4");
   EXPECT_EQ(HeaderOf(headers, "Kv-Fetch"), "none");
-  facts.TakeFrom = "10.0.0.1:90";
-  headers = gsMakeAdapter().AttemptHeaders(request, facts);
+  facts.TransferSource = "10.0.0.1:90";
+  headers = gsMakeAdapter().MakeAttemptHeaders(request, facts);
   EXPECT_EQ(HeaderOf(headers, "Kv-Fetch"), "10.0.0.1:90");
 }
 
 TEST(PlatformAdapter, ReadsTheHeadOfAnAnswer)
 {
-  gsAnswerHead head =
-    gsMakeAdapter().ReadAnswer(200, { { "gradescale-attempt-id", "x" },
-                                      { "gradescale-response-signature", "s" },
-                                      { "connection", "keep-alive" },
-                                      { "keep-alive", "timeout=5, max=100" },
-                                      { "transfer-encoding", "chunked" },
-                                      { "content-type", "text/plain" } });
+  gsResponseHead head = gsMakeAdapter().ParseResponseHead(
+    200, { { "gradescale-attempt-id", "x" },
+           { "gradescale-response-signature", "s" },
+           { "connection", "keep-alive" },
+           { "keep-alive", "timeout=5, max=100" },
+           { "transfer-encoding", "chunked" },
+           { "content-type", "text/plain" } });
   EXPECT_EQ(head.RequestId, "x");
-  EXPECT_TRUE(head.Signed);
+  EXPECT_TRUE(head.IsSigned);
   EXPECT_FALSE(head.NotExecuted);
-  EXPECT_EQ(head.KeepIdle, gsTime(gsSeconds(5)));
+  EXPECT_EQ(head.MaxConnectionIdle, gsTime(gsSeconds(5)));
   EXPECT_EQ(HeaderOf(head.Headers, "content-type"), "text/plain");
   EXPECT_EQ(HeaderOf(head.Headers, "connection"), "none");
   EXPECT_EQ(HeaderOf(head.Headers, "transfer-encoding"), "none");
-  EXPECT_TRUE(gsMakeAdapter().ReadAnswer(421, {}).NotExecuted);
+  EXPECT_TRUE(gsMakeAdapter().ParseResponseHead(421, {}).NotExecuted);
   EXPECT_TRUE(gsMakeAdapter()
-                .ReadAnswer(503, { { "gradescale-not-executed", "1" } })
+                .ParseResponseHead(503, { { "gradescale-not-executed", "1" } })
                 .NotExecuted);
 }
--- a/Tests/Route/gsTestRouteGateway.cxx
+++ b/Tests/Route/gsTestRouteGateway.cxx
@@ -112,7 +112,7 @@
 {
   gsRouteBench bench;
   bench.Add("u1", Whole("answer"));
-  bench.Gateway->TakeRoutes(nullptr);
+  bench.Gateway->SetRoutes(nullptr);
   gsCallerViewPtr view = bench.SendAndWait(On("plain"));
   EXPECT_EQ(view->Status, 503U);
   EXPECT_NE(view->Header("retry-after"), "");
@@ -313,7 +313,7 @@
   dead.Slots = 8;
   gsScriptedUpstream& upstream = bench.Add("u1", Whole("answer"));
   gsListedUpstream good = bench.Fleet.Rows[0].Listed;
-  gsFleetTake(bench.Fleet, { dead, good });
+  gsFleetReplaceListing(bench.Fleet, { dead, good });
   for (int i = 0; i < 10; ++i) {
     EXPECT_EQ(
       bench.SendAndWait(On("plain", "id-" + std::to_string(i)))->Status, 200U);
@@ -353,7 +353,7 @@
   bench.Leave(reading);
   EXPECT_TRUE(
     bench.RunUntil([&] { return upstream.Connections[1]->Gone(); }, 0.5));
-  EXPECT_EQ(bench.Gateway->Open(), 0U);
+  EXPECT_EQ(bench.Gateway->OpenRequests(), 0U);
 }
 
 TEST(RouteGateway, AStreamIsPassedOnEventByEvent)
@@ -417,7 +417,7 @@
 TEST(RouteGateway, ASilentUpstreamIsLeftByWhatMayRepeat)
 {
   gsRouteGatewaySettings settings;
-  settings.SilenceLimit = gsMilliseconds(200);
+  settings.SilenceTimeout = gsMilliseconds(200);
   gsRouteBench bench(settings);
   AddPair(bench, Silent, Whole("answer"));
   gsTime begin = gsLoop::Now();
@@ -432,7 +432,7 @@
   gsRouteTable table = bench.MakeTable();
   table.Routes[0].Timeout = gsMilliseconds(300);
   gsIndexRoutes(table);
-  bench.Gateway->TakeRoutes(
+  bench.Gateway->SetRoutes(
     std::make_shared<gsRouteTable const>(std::move(table)));
   gsScriptedUpstream& upstream = bench.Add("u1", Silent);
   gsTime begin = gsLoop::Now();
@@ -477,12 +477,12 @@
   service.Engine = gsRouteEngine{};
   table.Services.push_back(service);
   gsIndexRoutes(table);
-  bench.Gateway->TakeRoutes(
+  bench.Gateway->SetRoutes(
     std::make_shared<gsRouteTable const>(std::move(table)));
   gsScriptedUpstream& upstream = bench.Add("u1", Whole("answer"));
   gsFleetRow& row = bench.Fleet.Rows[0];
-  row.Others.Running = 2 * row.Listed.Slots;
-  row.OthersAt = gsLoop::Now();
+  row.OthersLoad.OpenAttempts = 2 * row.Listed.Slots;
+  row.OthersReportedAt = gsLoop::Now();
   gsCallerViewPtr less = bench.SendAndWait(On("plain", "id-1"));
   EXPECT_EQ(less->Status, 503U);
   EXPECT_FALSE(less->Header("retry-after").empty());
@@ -534,7 +534,7 @@
 gsRouteGatewaySettings SoonSilent()
 {
   gsRouteGatewaySettings settings;
-  settings.SilenceLimit = gsMilliseconds(200);
+  settings.SilenceTimeout = gsMilliseconds(200);
   return settings;
 }
 
@@ -607,7 +607,7 @@
       } },
     { "no connection",
       [](gsRouteBench& /*bench*/, gsFleetRow& row) {
-        row.Own.Running = connections;
+        row.OwnLoad.OpenAttempts = connections;
       } },
   };
   for (auto const& [name, bar] : bars) {
@@ -616,7 +616,7 @@
     gsRouteTable table = bench.MakeTable();
     table.Services = { { "model", connections, {}, {} } };
     gsIndexRoutes(table);
-    bench.Gateway->TakeRoutes(
+    bench.Gateway->SetRoutes(
       std::make_shared<gsRouteTable const>(std::move(table)));
     PausedStream stream(bench, "resume");
     bench.Add("u2", Whole("other"));
@@ -632,7 +632,7 @@
   table.Routes[2].Repeatable = true;
   table.Routes[2].MaxAttempts = 2;
   gsIndexRoutes(table);
-  bench.Gateway->TakeRoutes(
+  bench.Gateway->SetRoutes(
     std::make_shared<gsRouteTable const>(std::move(table)));
   PausedStream stream(bench, "stream");
   bench.Add("u2", Whole("other"));
@@ -679,13 +679,13 @@
   gsListedUpstream dead = bench.Fleet.Rows[0].Listed;
   dead.Id = "u2";
   dead.Address = "127.0.0.1:1";
-  gsFleetTake(bench.Fleet, { bench.Fleet.Rows[0].Listed, dead,
-                             bench.Fleet.Rows[1].Listed });
+  gsFleetReplaceListing(bench.Fleet, { bench.Fleet.Rows[0].Listed, dead,
+                                       bench.Fleet.Rows[1].Listed });
   // The dead one looks the emptier.
   constexpr std::uint64_t tokens = 100000;
-  gsFleetFind(bench.Fleet, "u3")->Own.ReadTokens = tokens;
+  gsFleetFind(bench.Fleet, "u3")->OwnLoad.PendingPromptTokens = tokens;
   ASSERT_TRUE(bench.RunUntil([&] { return stream.View->Done; }));
-  EXPECT_GT(gsFleetFind(bench.Fleet, "u2")->Unreachable, 0U);
+  EXPECT_GT(gsFleetFind(bench.Fleet, "u2")->ConsecutiveConnectFailures, 0U);
   EXPECT_TRUE(stream.View->Whole);
   EXPECT_EQ(stream.View->Body, gsEvent(1, "a") + gsEvent(2, "b"));
   EXPECT_EQ(last.Requests.size(), 1U);
@@ -698,9 +698,9 @@
   gsScriptedUpstream& upstream = bench.Add("u1", {});
   upstream.Follow(Late(bench, timer));
   gsFleetRow* row = gsFleetFind(bench.Fleet, "u1");
-  row->Others.Running = row->Listed.Slots + 7;
-  row->OthersAt = gsLoop::Now();
-  bench.Fleet.Demand["model"].HoldTight = 1000;
+  row->OthersLoad.OpenAttempts = row->Listed.Slots + 7;
+  row->OthersReportedAt = gsLoop::Now();
+  bench.Fleet.Demand["model"].TightHoldMillis = 1000;
   gsCallerViewPtr view = bench.Send(On("safe"));
   ASSERT_TRUE(bench.RunUntil([&] { return bench.Arrivals() == 1; }));
   bench.Add("u2", Whole("other"));
@@ -719,8 +719,8 @@
   ASSERT_TRUE(bench.RunUntil([&] { return bench.Arrivals() == 1; }));
   bench.Add("u2", Whole("other"));
   gsFleetRow* row = gsFleetFind(bench.Fleet, "u1");
-  row->Others.ReadTokens = 20000;
-  row->OthersAt = gsLoop::Now();
+  row->OthersLoad.PendingPromptTokens = 20000;
+  row->OthersReportedAt = gsLoop::Now();
   ASSERT_TRUE(bench.RunUntil([&] { return view->Done; }));
   EXPECT_EQ(view->Body, "late");
   EXPECT_EQ(bench.Arrivals(), 1U);
@@ -732,10 +732,10 @@
   PausedStream stream(bench, "resume");
   bench.Add("u2", Whole("other"));
   gsFleetRow* row = gsFleetFind(bench.Fleet, "u1");
-  row->Others.ReadTokens = 30000;
-  row->OthersAt = gsLoop::Now();
+  row->OthersLoad.PendingPromptTokens = 30000;
+  row->OthersReportedAt = gsLoop::Now();
   stream.ExpectItGoesOn();
-  EXPECT_EQ(gsFleetFind(bench.Fleet, "u1")->Unreachable, 0U);
+  EXPECT_EQ(gsFleetFind(bench.Fleet, "u1")->ConsecutiveConnectFailures, 0U);
 }
 // One request that is never answered says little of an upstream that answers
 // all others: it may not keep the host from it for as long as it waits.
@@ -788,7 +788,7 @@
   EXPECT_EQ(stream.View->Body, gsEvent(1, "a") + gsEvent(2, "b"));
   EXPECT_TRUE(
     bench.RunUntil([&] { return other.Connections.back()->Gone(); }, 1));
-  EXPECT_EQ(gsFleetFind(bench.Fleet, "u2")->Own.Running, 0U);
+  EXPECT_EQ(gsFleetFind(bench.Fleet, "u2")->OwnLoad.OpenAttempts, 0U);
 }
 
 // Two upstreams never have the same request for long.
@@ -814,9 +814,9 @@
   for (gsFleetRow const& each : bench.Fleet.Rows) {
     listed.push_back(each.Listed);
   }
-  listed[row].Born += 1;
-  gsFleetTake(bench.Fleet, listed, gsLoop::Now());
-  bench.Gateway->EndAttemptsAtRestarted();
+  listed[row].StartedAt += 1;
+  gsFleetReplaceListing(bench.Fleet, listed, gsLoop::Now());
+  bench.Gateway->EndAttemptsAtRestartedUpstreams();
 }
 
 } // namespace
@@ -836,7 +836,7 @@
   EXPECT_EQ(stream.View->Body, gsEvent(1, "a") + gsEvent(2, "b"));
   ASSERT_EQ(other.Requests.size(), 1U);
   EXPECT_EQ(other.Requests[0].Header("last-event-id"), "1");
-  EXPECT_EQ(bench.Fleet.Rows[0].Own.Running, 0U);
+  EXPECT_EQ(bench.Fleet.Rows[0].OwnLoad.OpenAttempts, 0U);
 }
 
 TEST(RouteGateway, WhatMayNotRunTwiceIsNotSentAgainAfterARestart)
--- a/Tests/Route/gsTestTableSync.cxx
+++ b/Tests/Route/gsTestTableSync.cxx
@@ -12,7 +12,7 @@
 #include "gsFakePlatform.h"
 #include "gsHallCluster.h"
 #include "gsRouteBench.h"
-#include "gsRowForms.h"
+#include "gsRowFormat.h"
 #include "gsTableSync.h"
 #include "gsTableWire.h"
 #include "gsUpstreamText.h"
@@ -73,10 +73,10 @@
     gsHallClusterEvents events;
     events.OnFrame = [this](std::string const& host, std::uint64_t link,
                             gradescale::Frame const& frame) {
-      this->Tables.Hear(host, link, frame);
+      this->Tables.ReceiveFrame(host, link, frame);
     };
     events.OnChanged = [] {};
-    events.ConfigVersion = [this] { return this->Tables.Version(); };
+    events.ConfigVersion = [this] { return this->Tables.LastChangeVersion(); };
     events.FillHeader = [this](gradescale::Frame& frame) {
       this->Tables.FillHeader(frame);
     };
@@ -90,10 +90,10 @@
     return frame.tables_age_ms() > 0;
   }
 
-  gsTableWatch const& Rows() const { return this->Tables.UpstreamRows(); }
+  gsTableWatch const& Rows() const { return this->Tables.UpstreamsTable(); }
   bool Has(std::string const& key) const
   {
-    return this->Rows().Present().count(key) != 0;
+    return this->Rows().LiveRows().count(key) != 0;
   }
 
   gsSettings Settings;
@@ -142,20 +142,20 @@
   /** A false word, at a version up to which the host is complete. */
   void TakeAway(Node& node, std::string const& key)
   {
-    gsTableNews news;
-    news.Version = node.Rows().Version();
+    gsTableUpdate news;
+    news.Version = node.Rows().LastChangeVersion();
     news.Rows = { { key, "", news.Version, true } };
     gradescale::Frame frame;
-    gsAddNews(frame, this->Bench.Adapter.Tables.Upstreams, news);
-    node.Tables.Hear("stranger", 0, frame);
+    gsAddTableUpdate(frame, this->Bench.Adapter.Tables.Upstreams, news);
+    node.Tables.ReceiveFrame("stranger", 0, frame);
   }
 
   /** What some other host says of its rows. */
-  void HearCheck(Node& node, gsRowsCheck const& check)
+  void HearCheck(Node& node, gsTableDigest const& check)
   {
     gradescale::Frame frame;
-    gsFillTables(frame, node.Tables.RouteRows().Check(), check);
-    node.Tables.Hear("stranger", 0, frame);
+    gsFillTableDigests(frame, node.Tables.RoutesTable().Digest(), check);
+    node.Tables.ReceiveFrame("stranger", 0, frame);
   }
 
   gsRouteBench Bench;
@@ -177,27 +177,27 @@
   ASSERT_FALSE(this->Told().Has("a"));
   EXPECT_TRUE(this->Bench.RunUntil([&] { return this->Told().Has("a"); }, 4));
   EXPECT_TRUE(this->Watcher().Has("a"));
-  EXPECT_GE(this->Told().Tables.Differences(), 1U);
+  EXPECT_GE(this->Told().Tables.DivergenceCount(), 1U);
   EXPECT_LE(this->Platform.Reads - reads, 4); // Of both tables.
 }
 
 // What a watcher believes it tells its hall; another hall's host is right.
 TEST_F(TableSync, AWatchersCopyIsMendedByThePlatform)
 {
-  gsRowsCheck right = this->Watcher().Rows().Check();
+  gsTableDigest right = this->Watcher().Rows().Digest();
   this->TakeAway(this->Watcher(), "a");
   ASSERT_FALSE(this->Watcher().Has("a"));
   this->HearCheck(this->Watcher(), right);
   EXPECT_TRUE(
     this->Bench.RunUntil([&] { return this->Watcher().Has("a"); }, 2));
-  EXPECT_GE(this->Watcher().Tables.Differences(), 1U);
+  EXPECT_GE(this->Watcher().Tables.DivergenceCount(), 1U);
   EXPECT_TRUE(this->Bench.RunUntil([&] { return this->Told().Has("a"); }, 4));
 }
 
 TEST_F(TableSync, AWrongNeighbourCostsOneReadInTwoSecondsAndChangesNothing)
 {
-  gsRowsCheck wrong = this->Watcher().Rows().Check();
-  wrong.Rows += 1;
+  gsTableDigest wrong = this->Watcher().Rows().Digest();
+  wrong.RowsPlusOne += 1;
   int reads = this->Platform.Reads;
   for (int i = 0; i < 25; ++i) {
     this->HearCheck(this->Watcher(), wrong);
@@ -212,12 +212,12 @@
 TEST_F(TableSync, AHeaderWhoseCountsCannotBeReadIsNotUsed)
 {
   gradescale::Frame frame;
-  gsFillTables(frame, this->Told().Tables.RouteRows().Check(),
-               this->Told().Rows().Check());
+  gsFillTableDigests(frame, this->Told().Tables.RoutesTable().Digest(),
+                     this->Told().Rows().Digest());
   frame.mutable_table_hashes()->RemoveLast();
-  this->Told().Tables.Hear("stranger", 0, frame);
-  EXPECT_EQ(this->Told().Tables.UnreadableCounts(), 1U);
-  EXPECT_EQ(this->Told().Tables.Differences(), 0U);
+  this->Told().Tables.ReceiveFrame("stranger", 0, frame);
+  EXPECT_EQ(this->Told().Tables.MalformedHeaderCount(), 1U);
+  EXPECT_EQ(this->Told().Tables.DivergenceCount(), 0U);
 }
 
 // A release of 300 upstreams at once was told as too large, and each host that
@@ -230,7 +230,7 @@
     this->Platform.Put("new" + std::to_string(i), value);
   }
   EXPECT_TRUE(this->Bench.RunUntil(
-    [&] { return this->Told().Rows().Present().size() == 302; }, 5));
+    [&] { return this->Told().Rows().LiveRows().size() == 302; }, 5));
   EXPECT_EQ(this->Platform.Reads, reads);
 }
 
@@ -246,15 +246,17 @@
   upstream.Slots = 48;
   upstream.Leaving = true;
   upstream.Withdrawable = true;
-  upstream.Born = 1750000000123;
-  upstream.ColdLeft = gsMilliseconds(700);
-  gsTableNews news;
+  upstream.StartedAt = 1750000000123;
+  upstream.RemainingColdTime = gsMilliseconds(700);
+  gsTableUpdate news;
   news.Rows = { { "i-1", gsUpstreamText(upstream), 4, false },
                 { "i-2", "no row of an upstream", 5, false },
                 { "i-3", "", 6, true } };
-  EXPECT_EQ(gsNewsInForm(news, gsRowForm::Compact, adapter).Rows[0].Value,
-            news.Rows[0].Value);
-  gsTableNews told = gsNewsInForm(news, gsRowForm::Platform, adapter);
+  EXPECT_EQ(
+    gsConvertTableUpdate(news, gsRowFormat::Compact, adapter).Rows[0].Value,
+    news.Rows[0].Value);
+  gsTableUpdate told =
+    gsConvertTableUpdate(news, gsRowFormat::Platform, adapter);
   EXPECT_EQ(told.Rows[1].Value, news.Rows[1].Value);
   EXPECT_TRUE(told.Rows[2].Removed);
   // What the releases before look for, each of the type that they read.
@@ -266,7 +268,7 @@
   EXPECT_TRUE(row.at("capacity_slots").is_number_unsigned());
   EXPECT_TRUE(row.at("call_seq").is_number_unsigned());
   gsResult<gsListedUpstream> read =
-    adapter.ReadUpstream("i-1", told.Rows[0].Value);
+    adapter.ParseUpstream("i-1", told.Rows[0].Value);
   ASSERT_TRUE(read.has_value());
   EXPECT_EQ(gsUpstreamText(read.value()), news.Rows[0].Value);
 }
@@ -275,5 +277,6 @@
 {
   gradescale::Frame frame;
   this->Left.Tables.FillHeader(frame);
-  EXPECT_EQ(frame.reads_row_form(), static_cast<std::uint32_t>(gsRowFormRead));
+  EXPECT_EQ(frame.reads_row_form(),
+            static_cast<std::uint32_t>(gsNewestRowFormat));
 }
--- a/Tests/Route/gsTestTableWatch.cxx
+++ b/Tests/Route/gsTestTableWatch.cxx
@@ -18,12 +18,12 @@
 using Json = nlohmann::json;
 using FakePlatform = gsFakePlatform;
 
-gsTableNews News(std::uint64_t above, std::uint64_t version,
-                 std::vector<gsTableRow> rows)
+gsTableUpdate News(std::uint64_t above, std::uint64_t version,
+                   std::vector<gsTableRow> rows)
 {
-  gsTableNews news;
+  gsTableUpdate news;
   news.Rows = std::move(rows);
-  news.Above = above;
+  news.BaseVersion = above;
   news.Version = version;
   return news;
 }
@@ -31,7 +31,7 @@
 std::vector<std::string> Keys(gsTableWatch const& watch)
 {
   std::vector<std::string> keys;
-  for (auto const& [key, row] : watch.Present()) {
+  for (auto const& [key, row] : watch.LiveRows()) {
     keys.push_back(key);
   }
   return keys;
@@ -52,15 +52,15 @@
   gsTableWatchSettings Settings() const
   {
     gsTableWatchSettings settings;
-    settings.Platform = this->Platform.Address();
-    settings.Table = "t";
-    settings.Wait = gsMilliseconds(200);
-    settings.Patience = gsMilliseconds(100);
-    settings.RetryFirst = gsMilliseconds(20);
-    settings.RetryMost = gsMilliseconds(50);
-    settings.Gather = gsMilliseconds(60);
-    settings.AwayAfter = gsMilliseconds(500);
-    settings.ReturnPatience = gsMilliseconds(400);
+    settings.PlatformAddress = this->Platform.Address();
+    settings.TableName = "t";
+    settings.WatchWait = gsMilliseconds(200);
+    settings.ResponseMargin = gsMilliseconds(100);
+    settings.InitialRetryDelay = gsMilliseconds(20);
+    settings.MaxRetryDelay = gsMilliseconds(50);
+    settings.BatchDelay = gsMilliseconds(60);
+    settings.OutageThreshold = gsMilliseconds(500);
+    settings.ReturnGracePeriod = gsMilliseconds(400);
     return settings;
   }
 
@@ -79,8 +79,8 @@
 
   std::string Value(std::string const& key) const
   {
-    auto row = this->Watch->Present().find(key);
-    return row == this->Watch->Present().end() ? "none" : row->second.Value;
+    auto row = this->Watch->LiveRows().find(key);
+    return row == this->Watch->LiveRows().end() ? "none" : row->second.Value;
   }
 
   bool Becomes(std::string const& key, std::string const& value,
@@ -131,7 +131,8 @@
 TEST_F(TableWatch, AnEmptyTableIsKnownToo)
 {
   this->Begin();
-  EXPECT_TRUE(this->Bench.RunUntil([&] { return this->Watch->Known(); }));
+  EXPECT_TRUE(
+    this->Bench.RunUntil([&] { return this->Watch->IsInitialized(); }));
   EXPECT_EQ(this->Changes, 1);
 }
 
@@ -141,7 +142,7 @@
   this->Platform.Silent = true;
   this->Begin();
   this->Bench.RunFor(1.0);
-  EXPECT_FALSE(this->Watch->Known());
+  EXPECT_FALSE(this->Watch->IsInitialized());
   this->Platform.Silent = false;
   EXPECT_TRUE(this->Becomes("a", "1"));
 }
@@ -183,10 +184,10 @@
   this->Platform.Remove("a");
   this->Platform.Remove("b");
   this->Bench.RunFor(0.8);
-  gsTime before = this->Watch->LastAnswer();
+  gsTime before = this->Watch->LastResponseTime();
   this->Platform.Silent = false;
-  ASSERT_TRUE(
-    this->Bench.RunUntil([&] { return this->Watch->LastAnswer() != before; }));
+  ASSERT_TRUE(this->Bench.RunUntil(
+    [&] { return this->Watch->LastResponseTime() != before; }));
   EXPECT_EQ(this->Value("a"), "1");
   EXPECT_EQ(this->Value("b"), "1");
   ASSERT_TRUE(this->Bench.RunUntil([&] { return this->Platform.Watched(); }));
@@ -266,14 +267,15 @@
   ASSERT_TRUE(this->Becomes("a", "1"));
   this->Platform.Busy = true;
   this->Platform.Deaf = true;
-  EXPECT_TRUE(this->Watch->Learn(News(1, 5, { { "a", "2", 5, false } }), "p"));
+  EXPECT_TRUE(
+    this->Watch->TryApplyUpdate(News(1, 5, { { "a", "2", 5, false } }), "p"));
   EXPECT_EQ(this->Value("a"), "2");
-  EXPECT_EQ(this->Watch->Version(), 5U);
-  this->Watch->Learn(News(0, 1, { { "a", "1", 1, false } }), "p");
+  EXPECT_EQ(this->Watch->LastChangeVersion(), 5U);
+  this->Watch->TryApplyUpdate(News(0, 1, { { "a", "1", 1, false } }), "p");
   EXPECT_EQ(this->Value("a"), "2");
-  this->Watch->Learn(News(5, 6, { { "a", "", 6, true } }), "p");
+  this->Watch->TryApplyUpdate(News(5, 6, { { "a", "", 6, true } }), "p");
   EXPECT_EQ(this->Value("a"), "none");
-  this->Watch->Learn(News(1, 5, { { "a", "2", 5, false } }), "p");
+  this->Watch->TryApplyUpdate(News(1, 5, { { "a", "2", 5, false } }), "p");
   EXPECT_EQ(this->Value("a"), "none");
 }
 
@@ -281,39 +283,40 @@
 // lacked upstreams from then on.
 TEST_F(TableWatch, MissingChangesAreNoticed)
 {
-  EXPECT_TRUE(this->Watch->Learn(News(0, 3, { { "a", "1", 3, false } }), "p"));
+  EXPECT_TRUE(
+    this->Watch->TryApplyUpdate(News(0, 3, { { "a", "1", 3, false } }), "p"));
   EXPECT_FALSE(
-    this->Watch->Learn(News(5, 6, { { "c", "3", 6, false } }), "p"));
+    this->Watch->TryApplyUpdate(News(5, 6, { { "c", "3", 6, false } }), "p"));
   EXPECT_EQ(this->Value("c"), "3"); // It holds all the same.
-  EXPECT_EQ(this->Watch->CompleteTo(), 3U);
-  EXPECT_EQ(this->Watch->Version(), 3U);
-  EXPECT_TRUE(this->Watch->Learn(
+  EXPECT_EQ(this->Watch->CompleteVersion(), 3U);
+  EXPECT_EQ(this->Watch->LastChangeVersion(), 3U);
+  EXPECT_TRUE(this->Watch->TryApplyUpdate(
     News(3, 6, { { "b", "2", 5, false }, { "c", "3", 6, false } }), "p"));
   EXPECT_EQ(this->Value("b"), "2");
-  EXPECT_EQ(this->Watch->CompleteTo(), 6U);
+  EXPECT_EQ(this->Watch->CompleteVersion(), 6U);
 }
 
 TEST_F(TableWatch, AWholeCopyRemovesWhatItLacks)
 {
-  this->Watch->Learn(
+  this->Watch->TryApplyUpdate(
     News(0, 4, { { "a", "1", 3, false }, { "b", "2", 4, false } }), "p");
-  gsTableNews whole = News(0, 9, { { "b", "2", 4, false } });
-  whole.Whole = true;
-  EXPECT_TRUE(this->Watch->Learn(whole, "p"));
+  gsTableUpdate whole = News(0, 9, { { "b", "2", 4, false } });
+  whole.IsSnapshot = true;
+  EXPECT_TRUE(this->Watch->TryApplyUpdate(whole, "p"));
   EXPECT_EQ(this->Value("a"), "none");
   EXPECT_EQ(this->Value("b"), "2");
 }
 
 TEST_F(TableWatch, TellsOtherHostsWhatTheyLack)
 {
-  this->Watch->Learn(
+  this->Watch->TryApplyUpdate(
     News(0, 4, { { "a", "1", 3, false }, { "b", "2", 4, false } }), "p");
-  this->Watch->Learn(News(4, 7, { { "a", "", 7, true } }), "p");
-  gsTableNews all = this->Watch->NewsAbove(0);
-  EXPECT_TRUE(all.Whole);
+  this->Watch->TryApplyUpdate(News(4, 7, { { "a", "", 7, true } }), "p");
+  gsTableUpdate all = this->Watch->UpdateSince(0);
+  EXPECT_TRUE(all.IsSnapshot);
   EXPECT_EQ(all.Rows.size(), 1U);
-  gsTableNews above = this->Watch->NewsAbove(4);
-  EXPECT_FALSE(above.Whole);
+  gsTableUpdate above = this->Watch->UpdateSince(4);
+  EXPECT_FALSE(above.IsSnapshot);
   EXPECT_EQ(above.Version, 7U);
   ASSERT_EQ(above.Rows.size(), 1U);
   EXPECT_EQ(above.Rows[0].Key, "a");
@@ -330,8 +333,8 @@
   this->Platform.Put("b", "MQ==");
   this->Begin();
   ASSERT_TRUE(this->Becomes("b", "1"));
-  hall->Learn(this->Watch->NewsAbove(0), "watcher");
-  other->Learn(this->Watch->NewsAbove(0), "watcher");
+  hall->TryApplyUpdate(this->Watch->UpdateSince(0), "watcher");
+  other->TryApplyUpdate(this->Watch->UpdateSince(0), "watcher");
   this->Platform.Silent = true;
   this->Platform.Remove("a");
   this->Platform.Put("c", "MQ==");
@@ -344,20 +347,23 @@
   ASSERT_TRUE(this->Becomes("d", "1"));
   ASSERT_EQ(this->Value("a"), "1"); // Both are held back.
   ASSERT_EQ(this->Value("b"), "1");
-  EXPECT_LT(this->Watch->CompleteTo(), 3U);
-  EXPECT_LE(this->Watch->Version(), this->Watch->CompleteTo());
-  hall->Learn(this->Watch->NewsAbove(hall->CompleteTo()), "watcher");
-
-  other->Learn(News(2, 6,
-                    { { "a", "", 3, true },
-                      { "c", "1", 4, false },
-                      { "b", "", 5, true },
-                      { "d", "1", 6, false } }),
-               "platform");
-  this->Watch->Learn(other->NewsAbove(this->Watch->CompleteTo()), "other");
-  hall->Learn(this->Watch->NewsAbove(hall->CompleteTo()), "watcher");
-  EXPECT_EQ(this->Watch->CompleteTo(), 6U);
-  EXPECT_EQ(hall->CompleteTo(), 6U);
+  EXPECT_LT(this->Watch->CompleteVersion(), 3U);
+  EXPECT_LE(this->Watch->LastChangeVersion(), this->Watch->CompleteVersion());
+  hall->TryApplyUpdate(this->Watch->UpdateSince(hall->CompleteVersion()),
+                       "watcher");
+
+  other->TryApplyUpdate(News(2, 6,
+                             { { "a", "", 3, true },
+                               { "c", "1", 4, false },
+                               { "b", "", 5, true },
+                               { "d", "1", 6, false } }),
+                        "platform");
+  this->Watch->TryApplyUpdate(
+    other->UpdateSince(this->Watch->CompleteVersion()), "other");
+  hall->TryApplyUpdate(this->Watch->UpdateSince(hall->CompleteVersion()),
+                       "watcher");
+  EXPECT_EQ(this->Watch->CompleteVersion(), 6U);
+  EXPECT_EQ(hall->CompleteVersion(), 6U);
   EXPECT_EQ(Keys(*this->Watch), Keys(*other));
   EXPECT_EQ(Keys(*hall), Keys(*other));
 }
@@ -367,32 +373,34 @@
 TEST_F(TableWatch, RoutesHaveNoTimeToReturn)
 {
   gsSettings settings;
-  EXPECT_EQ(gsRoutesWatch(settings, this->Bench.Adapter).ReturnPatience,
-            gsTime{});
-  EXPECT_GT(gsUpstreamsWatch(settings, this->Bench.Adapter).ReturnPatience,
-            gsTime{});
+  EXPECT_EQ(
+    gsRoutesWatchSettings(settings, this->Bench.Adapter).ReturnGracePeriod,
+    gsTime{});
+  EXPECT_GT(
+    gsUpstreamsWatchSettings(settings, this->Bench.Adapter).ReturnGracePeriod,
+    gsTime{});
 }
 
 TEST_F(TableWatch, WithoutPatienceARemovalHoldsAfterAnOutage)
 {
   gsTableWatchSettings settings = this->Settings();
-  settings.ReturnPatience = gsTime{};
+  settings.ReturnGracePeriod = gsTime{};
   gsTableWatch watch(this->Bench.Loop, this->Bench.Callers,
                      this->Bench.Adapter, settings, [] {});
   this->Platform.Put("a", "MQ==");
   watch.Start();
   watch.Resume(gsLoop::Now());
   ASSERT_TRUE(
-    this->Bench.RunUntil([&] { return watch.Present().size() == 1; }));
+    this->Bench.RunUntil([&] { return watch.LiveRows().size() == 1; }));
   ASSERT_TRUE(this->Bench.RunUntil([&] { return this->Platform.Watched(); }));
   this->Platform.Silent = true;
   this->Platform.Remove("a");
   this->Bench.RunFor(0.8);
-  gsTime before = watch.LastAnswer();
+  gsTime before = watch.LastResponseTime();
   this->Platform.Silent = false;
   ASSERT_TRUE(
-    this->Bench.RunUntil([&] { return watch.LastAnswer() != before; }));
-  EXPECT_TRUE(watch.Present().empty());
+    this->Bench.RunUntil([&] { return watch.LastResponseTime() != before; }));
+  EXPECT_TRUE(watch.LiveRows().empty());
 }
 
 TEST_F(TableWatch, ACopyThatWasMadeWrongIsMendedByARead)
@@ -401,35 +409,36 @@
   this->Platform.Put("b", "MQ==");
   this->Begin();
   ASSERT_TRUE(this->Becomes("b", "1"));
-  gsRowsCheck right = this->Watch->Check();
-  this->Watch->Learn(News(1, 2, { { "a", "", 2, true } }), "wrong");
+  gsTableDigest right = this->Watch->Digest();
+  this->Watch->TryApplyUpdate(News(1, 2, { { "a", "", 2, true } }), "wrong");
   ASSERT_EQ(this->Value("a"), "none");
-  EXPECT_TRUE(gsRowsDiffer(this->Watch->Check(), right));
+  EXPECT_TRUE(gsTableDigestsDiffer(this->Watch->Digest(), right));
   this->Watch->Refresh("differs");
   EXPECT_TRUE(this->Becomes("a", "1"));
-  EXPECT_FALSE(gsRowsDiffer(this->Watch->Check(), right));
-  EXPECT_EQ(this->Watch->ReadSince(gsTime{ 1 }), 2U);
+  EXPECT_FALSE(gsTableDigestsDiffer(this->Watch->Digest(), right));
+  EXPECT_EQ(this->Watch->SnapshotVersionSince(gsTime{ 1 }), 2U);
 }
 
 TEST(TableCheck, AHeaderTellsCountsAndRefusesThoseItCannotRead)
 {
   gradescale::Frame frame;
-  EXPECT_FALSE(gsReadTables(frame));
-  gsFillTables(frame, { 5, 3, 77 }, { 9, 0, 0 });
-  gsFillTables(frame, { 6, 4, 78 }, { 9, 0, 0 });
-  auto told = gsReadTables(frame);
+  EXPECT_FALSE(gsParseTableDigests(frame));
+  gsFillTableDigests(frame, { 5, 3, 77 }, { 9, 0, 0 });
+  gsFillTableDigests(frame, { 6, 4, 78 }, { 9, 0, 0 });
+  auto told = gsParseTableDigests(frame);
   ASSERT_TRUE(told);
-  EXPECT_EQ(told->Counts, gsCountsRead::Told);
+  EXPECT_EQ(told->DigestFields, gsDigestFields::Present);
   EXPECT_EQ(told->Routes.Version, 6U);
-  EXPECT_EQ(told->Routes.Rows, 4U);
+  EXPECT_EQ(told->Routes.RowsPlusOne, 4U);
   EXPECT_EQ(told->Routes.Hash, 78U);
   EXPECT_EQ(told->Upstreams.Version, 9U);
   frame.mutable_table_rows()->RemoveLast();
-  EXPECT_EQ(gsReadTables(frame)->Counts, gsCountsRead::Unreadable);
+  EXPECT_EQ(gsParseTableDigests(frame)->DigestFields,
+            gsDigestFields::Malformed);
   frame.clear_table_rows();
   frame.clear_table_hashes();
-  EXPECT_EQ(gsReadTables(frame)->Counts, gsCountsRead::None);
-  EXPECT_EQ(gsReadTables(frame)->Routes.Version, 6U);
+  EXPECT_EQ(gsParseTableDigests(frame)->DigestFields, gsDigestFields::Absent);
+  EXPECT_EQ(gsParseTableDigests(frame)->Routes.Version, 6U);
 }
 
 namespace {
@@ -447,7 +456,7 @@
 TEST_F(TableWatch, AWatcherOfALargeTableGoesOnFromWhatItHas)
 {
   gsTableWatchSettings settings = this->Settings();
-  settings.LargeRows = 1;
+  settings.LargeTableRows = 1;
   gsTableWatch watch(this->Bench.Loop, this->Bench.Callers,
                      this->Bench.Adapter, settings, [] {});
   this->Platform.Put("a", "MQ==");
@@ -461,7 +470,7 @@
   this->Platform.Silent = false;
   this->Platform.Put("c", "MQ==");
   EXPECT_TRUE(
-    this->Bench.RunUntil([&] { return watch.Present().count("c") != 0; }, 3));
+    this->Bench.RunUntil([&] { return watch.LiveRows().count("c") != 0; }, 3));
   EXPECT_EQ(this->Platform.Reads, reads);
 }
 
@@ -480,6 +489,7 @@
   this->Platform.Stale.reset();
   this->Platform.Put("b", "MQ==");
   this->Platform.Busy = false;
-  EXPECT_TRUE(this->Bench.RunUntil([&] { return this->Watch->Known(); }));
+  EXPECT_TRUE(
+    this->Bench.RunUntil([&] { return this->Watch->IsInitialized(); }));
   EXPECT_FALSE(this->Platform.LastSource.empty());
 }
--- a/Tests/Route/gsTestUpstreamLimit.cxx
+++ b/Tests/Route/gsTestUpstreamLimit.cxx
@@ -52,7 +52,7 @@
 double LimitOf(gsRouteBench& bench, std::string const& upstream)
 {
   gsFleetRow const* row = gsFleetFind(bench.Fleet, upstream);
-  return gsRateInForce(bench.Fleet.RateLimits, row->Hash, gsLoop::Now())
+  return gsEffectiveRate(bench.Fleet.RateLimits, row->Hash, gsLoop::Now())
     .value_or(0);
 }
 
--- a/Tests/Route/gsTestUpstreamSays.cxx
+++ b/Tests/Route/gsTestUpstreamSays.cxx
@@ -126,7 +126,7 @@
   SendUntilAsked(bench, leaves);
   bench.List();
   EXPECT_EQ(GetsOfMany(bench, leaves), 0U);
-  gsFleetTake(bench.Fleet, {});
+  gsFleetReplaceListing(bench.Fleet, {});
   bench.List();
   EXPECT_EQ(GetsOfMany(bench, leaves), 0U);
 }
--- a/Tests/Soak/gsTestRouted.cxx
+++ b/Tests/Soak/gsTestRouted.cxx
@@ -40,17 +40,17 @@
 }
 
 /** What the logs of all hosts tell together. */
-gsNearMissReader ReadLogs(gsRoutedSystem const& system)
+gsNearMissCollector ReadLogs(gsRoutedSystem const& system)
 {
-  gsNearMissReader reader;
+  gsNearMissCollector reader;
   for (std::string const& host : system.Hosts()) {
     for (std::string const& file : system.LogsOf(host)) {
       std::ifstream log(file);
       std::string line;
       while (std::getline(log, line)) {
-        if (std::optional<gsLogRecord> record = gsReadLogLine(line)) {
+        if (std::optional<gsLogRecord> record = gsParseLogLine(line)) {
           record->Host = host;
-          gsNearMissTake(reader, *record);
+          gsCollectNearMissRecord(reader, *record);
         }
       }
     }
@@ -496,22 +496,22 @@
   std::size_t left = 0;
   ASSERT_TRUE(system.RunUntil(
     [&] {
-      gsNearMissReader reader = ReadLogs(system);
-      left = reader.Changes.size();
+      gsNearMissCollector reader = ReadLogs(system);
+      left = reader.RowChanges.size();
       return left >= 2 * hosts; // Leaving, then gone.
     },
     5));
   EXPECT_EQ(left, 2 * hosts);
-  gsNearMissReader reader = ReadLogs(system);
-  EXPECT_EQ(reader.Ended.size(), replies.size());
-  for (gsNearMissReader::Request const& request : reader.Ended) {
-    EXPECT_TRUE(request.HadEvents) << request.Id;
-  }
-  gsNearMissReport report = gsNearMissSum(reader);
-  ASSERT_EQ(report.Leaving.size(), 1U);
-  EXPECT_TRUE(report.LateSent.empty());
-  EXPECT_TRUE(report.Closed.empty());
-  EXPECT_TRUE(report.Behind.empty());
+  gsNearMissCollector reader = ReadLogs(system);
+  EXPECT_EQ(reader.EndedRequests.size(), replies.size());
+  for (gsNearMissCollector::Request const& request : reader.EndedRequests) {
+    EXPECT_TRUE(request.CallerReceivedEvents) << request.Id;
+  }
+  gsNearMissReport report = gsBuildNearMissReport(reader);
+  ASSERT_EQ(report.LeavingUpstreams.size(), 1U);
+  EXPECT_TRUE(report.LateRequests.empty());
+  EXPECT_TRUE(report.InterruptedStreams.empty());
+  EXPECT_TRUE(report.StarvedRoutes.empty());
 }
 
 namespace {
--- a/Tests/StandIns/gsStandInPlatform.cxx
+++ b/Tests/StandIns/gsStandInPlatform.cxx
@@ -72,8 +72,8 @@
       return;
     }
     bool writes = false;
-    for (gsTableOp const& op : ops.value()) {
-      writes = writes || op.What != gsTableOp::Kind::Get;
+    for (gsTableOperation const& op : ops.value()) {
+      writes = writes || op.OperationKind != gsTableOperation::Kind::Get;
     }
     ++(writes ? this->Writes : this->Reads);
     std::string answer =
--- a/Tests/Unit/gsFleetCases.h
+++ b/Tests/Unit/gsFleetCases.h
@@ -1,7 +1,7 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * Fleets and requests that several test files use.
+ * Upstream tables and requests shared by several test files.
  */
 #pragma once
 
@@ -15,8 +15,9 @@
 
 inline constexpr gsTime Now = gsSeconds(100);
 
-inline gsListedUpstream Listed(std::string const& id,
-                               std::string const& hall = "a")
+/** A listed upstream of the service "model" with 8 slots. */
+inline gsListedUpstream MakeListed(std::string const& id,
+                                   std::string const& hall = "a")
 {
   gsListedUpstream upstream;
   upstream.Id = id;
@@ -27,6 +28,7 @@
   return upstream;
 }
 
+/** A fleet of upstreams u0, u1 and so on in hall a. */
 inline gsFleet MakeFleet(int upstreams)
 {
   gsFleet fleet;
@@ -34,25 +36,27 @@
   std::vector<gsListedUpstream> listed;
   listed.reserve(static_cast<std::size_t>(upstreams));
   for (int i = 0; i < upstreams; ++i) {
-    listed.push_back(Listed("u" + std::to_string(i)));
+    listed.push_back(MakeListed("u" + std::to_string(i)));
   }
-  gsFleetTake(fleet, listed);
+  gsFleetReplaceListing(fleet, listed);
   return fleet;
 }
 
-/** A request beside which streams suffer, unless a test says otherwise. */
-inline gsPlacementAsk Plain()
+/** A request of gsFleetGroup::Long without prompt parts. */
+inline gsPlacementRequest MakeLongRequest()
 {
-  gsPlacementAsk ask;
+  gsPlacementRequest ask;
   ask.Service = "model";
   ask.Group = gsFleetGroup::Long;
   return ask;
 }
 
-inline std::string Chosen(gsFleet& fleet, gsPlacementAsk const& ask)
+/** Places a request with a fixed random seed. \return Id of the chosen
+ * upstream; "none" if there is none. */
+inline std::string ChooseId(gsFleet& fleet, gsPlacementRequest const& ask)
 {
   gsRandom random(1);
-  gsPlacement placement = gsPlace(fleet, ask, Now, random);
+  gsPlacement placement = gsPlaceRequest(fleet, ask, Now, random);
   return placement.Row == nullptr ? "none" : placement.Row->Listed.Id;
 }
 
--- a/Tests/Unit/gsTestCandidates.cxx
+++ b/Tests/Unit/gsTestCandidates.cxx
@@ -1,12 +1,14 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * Thousands of upstreams before a thousand hosts: the orders that are kept row
- * by row are those of a list taken at once, and what one request looks at does
- * not grow with them, while all hosts find the same home for a subject.
+ * Tests of the selection of candidates among thousands of upstreams. The
+ * orders that are maintained row by row equal those of a list applied as a
+ * whole, the number of candidates does not grow with the number of upstreams,
+ * and all hosts find the same home for a subject.
  *
- * Seen: a request was placed in 36 us among 112 engines, and in 3.5 ms among
- * 9,468: 29 ms on a host of 0.12 core.
+ * When every upstream was evaluated for each request, placement took 36 us
+ * with 112 engines and 3.5 ms with 9,468, which is 29 ms on a host with 0.12
+ * CPU cores.
  */
 #include <algorithm>
 #include <map>
@@ -25,23 +27,23 @@
 
 namespace {
 
-gsListedUpstream Numbered(std::size_t i)
+gsListedUpstream ListedNumber(std::size_t i)
 {
-  return Listed("u" + std::to_string(i), std::string(1, 'a' + i % 6));
+  return MakeListed("u" + std::to_string(i), std::string(1, 'a' + i % 6));
 }
 
-gsFleet Many(std::size_t upstreams)
+gsFleet MakeLargeFleet(std::size_t upstreams)
 {
   gsFleet fleet;
   fleet.Settings.Hall = "a";
   for (std::size_t i = 0; i < upstreams; ++i) {
-    gsFleetPut(fleet, Numbered(i), Now);
+    gsFleetUpsert(fleet, ListedNumber(i), Now);
   }
   return fleet;
 }
 
-/** The ids of a service's rows in their order. */
-std::vector<std::string> Order(gsFleet const& fleet)
+/** Ids of the service's rows in the order by speed and hash. */
+std::vector<std::string> ServiceOrder(gsFleet const& fleet)
 {
   std::vector<std::string> ids;
   for (std::size_t index : fleet.ByService.at("model")) {
@@ -50,6 +52,7 @@
   return ids;
 }
 
+/** Ids of the service's rows in the order of the ring. */
 std::vector<std::string> RingOrder(gsFleet const& fleet)
 {
   std::vector<std::string> ids;
@@ -59,15 +62,15 @@
   return ids;
 }
 
-gsPlacementAsk Subject(std::vector<gsPromptPart> const& parts)
+gsPlacementRequest RequestOf(std::vector<gsPromptPart> const& parts)
 {
-  gsPlacementAsk ask = Plain();
-  ask.Parts = &parts;
-  ask.PromptTokens = 6100;
-  return ask;
+  gsPlacementRequest request = MakeLongRequest();
+  request.Parts = &parts;
+  request.PromptTokens = 6100;
+  return request;
 }
 
-/** Parts of a prompt; one first part for each ten subjects. */
+/** Parts of a prompt. Ten subjects have the same first part. */
 std::vector<gsPromptPart> PartsOf(std::uint64_t subject)
 {
   return { { 9'000'000 + subject / 10, 500 },
@@ -75,128 +78,130 @@
            { subject + 1'000'000, 600 } };
 }
 
-gsCandidateAsk AskOf(std::uint64_t subject)
+gsCandidateQuery QueryOf(std::uint64_t subject)
 {
-  gsCandidateAsk ask;
-  ask.Service = "model";
-  ask.Subject = subject;
-  return ask;
+  gsCandidateQuery query;
+  query.Service = "model";
+  query.Subject = subject;
+  return query;
 }
 
-/** Where a calm system sends a subject. */
+/** The upstream to which a request of a subject is sent when all are idle. */
 std::string HomeOf(gsFleet& fleet, std::uint64_t subject, std::uint64_t seed)
 {
   std::vector<gsPromptPart> parts = PartsOf(subject);
   gsRandom random(seed);
-  return gsPlace(fleet, Subject(parts), Now, random).Row->Listed.Id;
+  return gsPlaceRequest(fleet, RequestOf(parts), Now, random).Row->Listed.Id;
 }
 
 } // namespace
 
-TEST(EngineOrder, RowsThatComeAndGoLeaveTheOrdersOfAWholeList)
+TEST(EngineOrder, EqualsOrderOfWholeListWhenRowsChangeOneByOne)
 {
   gsRandom random(7);
-  gsFleet kept;
+  gsFleet updated;
   std::map<std::string, gsListedUpstream> listed;
   std::uniform_int_distribution<std::size_t> any(0, 99);
   gsEngineArrangement arrangement;
   arrangement.Version = 1;
   arrangement.LongEngines = 20;
   for (int step = 0; step < 3000; ++step) {
-    gsListedUpstream next = Numbered(any(random));
+    gsListedUpstream next = ListedNumber(any(random));
     switch (any(random) % 4) {
       case 0:
-        gsFleetDrop(kept, next.Id);
+        gsFleetRemove(updated, next.Id);
         listed.erase(next.Id);
         break;
       case 1:
-        next.Born = any(random); // Started again.
+        next.StartedAt = any(random); // A new incarnation.
         [[fallthrough]];
       default:
         next.Leaving = any(random) < 10;
-        gsFleetPut(kept, next, Now);
+        gsFleetUpsert(updated, next, Now);
         listed[next.Id] = next;
     }
-    if (step == 1000 && kept.Rows.size() > 1) {
-      arrangement.Slow = { kept.Rows[0].Hash, kept.Rows[1].Hash };
-      std::sort(arrangement.Slow.begin(), arrangement.Slow.end());
-      gsAdoptArrangement(kept, "model", arrangement);
+    if (step == 1000 && updated.Rows.size() > 1) {
+      arrangement.SlowEngines = { updated.Rows[0].Hash, updated.Rows[1].Hash };
+      std::sort(arrangement.SlowEngines.begin(),
+                arrangement.SlowEngines.end());
+      gsAdoptArrangement(updated, "model", arrangement);
     }
-    ASSERT_EQ(kept.Rows.size(), listed.size());
+    ASSERT_EQ(updated.Rows.size(), listed.size());
   }
-  gsFleet taken;
-  gsAdoptArrangement(taken, "model", arrangement);
-  std::vector<gsListedUpstream> whole;
-  whole.reserve(listed.size());
+  gsFleet rebuilt;
+  gsAdoptArrangement(rebuilt, "model", arrangement);
+  std::vector<gsListedUpstream> list;
+  list.reserve(listed.size());
   for (auto const& [id, upstream] : listed) {
-    whole.push_back(upstream);
+    list.push_back(upstream);
   }
-  gsFleetTake(taken, whole, Now);
-  EXPECT_EQ(Order(kept), Order(taken));
-  EXPECT_EQ(RingOrder(kept), RingOrder(taken));
-  EXPECT_EQ(kept.HallRows, taken.HallRows);
-  EXPECT_EQ(kept.LeavingRows, taken.LeavingRows);
-  EXPECT_EQ(kept.ByHash.size(), taken.ByHash.size());
-  for (gsFleetRow const& row : kept.Rows) {
-    EXPECT_EQ(gsFleetFind(kept, row.Listed.Id), &row);
-    EXPECT_EQ(
-      gsGroupUnder(kept, arrangement, row),
-      gsGroupUnder(taken, arrangement, *gsFleetFind(taken, row.Listed.Id)));
+  gsFleetReplaceListing(rebuilt, list, Now);
+  EXPECT_EQ(ServiceOrder(updated), ServiceOrder(rebuilt));
+  EXPECT_EQ(RingOrder(updated), RingOrder(rebuilt));
+  EXPECT_EQ(updated.RowsPerHall, rebuilt.RowsPerHall);
+  EXPECT_EQ(updated.LeavingRowCount, rebuilt.LeavingRowCount);
+  EXPECT_EQ(updated.ByHash.size(), rebuilt.ByHash.size());
+  for (gsFleetRow const& row : updated.Rows) {
+    EXPECT_EQ(gsFleetFind(updated, row.Listed.Id), &row);
+    EXPECT_EQ(gsGroupInArrangement(updated, arrangement, row),
+              gsGroupInArrangement(rebuilt, arrangement,
+                                   *gsFleetFind(rebuilt, row.Listed.Id)));
   }
 }
 
-TEST(EngineOrder, WhatIsLearnedStaysWhenOthersComeAndGo)
+TEST(EngineOrder, KeepsRowStateWhenOtherRowsChange)
 {
-  gsFleet fleet = Many(20);
+  gsFleet fleet = MakeLargeFleet(20);
   gsFleetRow* row = gsFleetFind(fleet, "u19");
-  row->Own.Running = 3;
-  gsNoteWorking(fleet, *row);
-  gsFleetDrop(fleet, "u0"); // The last row takes its place.
-  gsFleetPut(fleet, Numbered(30), Now);
-  EXPECT_EQ(gsFleetFind(fleet, "u19")->Own.Running, 3U);
+  row->OwnLoad.OpenAttempts = 3;
+  gsMarkReportable(fleet, *row);
+  gsFleetRemove(fleet, "u0"); // The last row moves to its index.
+  gsFleetUpsert(fleet, ListedNumber(30), Now);
+  EXPECT_EQ(gsFleetFind(fleet, "u19")->OwnLoad.OpenAttempts, 3U);
   std::vector<std::string> working;
-  gsForEachWorking(fleet, Now, [&](gsFleetRow const& each) {
+  gsForEachReportable(fleet, Now, [&](gsFleetRow const& each) {
     working.push_back(each.Listed.Id);
   });
   EXPECT_EQ(working, std::vector<std::string>{ "u19" });
-  gsFleetFind(fleet, "u19")->Own.Running = 0;
-  gsForEachWorking(fleet, Now, [](gsFleetRow const&) { FAIL(); });
-  EXPECT_TRUE(fleet.Working.empty());
+  gsFleetFind(fleet, "u19")->OwnLoad.OpenAttempts = 0;
+  gsForEachReportable(fleet, Now, [](gsFleetRow const&) { FAIL(); });
+  EXPECT_TRUE(fleet.ReportableRows.empty());
 }
 
-TEST(Candidates, ARequestWeighsAsManyAmongTwentyThousandAsAmongFewHundred)
+TEST(Candidates, BoundsCandidatesWhenThereAreManyUpstreams)
 {
   for (std::size_t upstreams : { 300, 1'000, 10'000, 20'000 }) {
-    gsFleet fleet = Many(upstreams);
+    gsFleet fleet = MakeLargeFleet(upstreams);
     gsRandom random(1);
     for (std::uint64_t subject = 2; subject < 50; ++subject) {
-      gsCandidates candidates = gsCandidatesFor(fleet, AskOf(subject), random);
+      gsCandidates candidates =
+        gsSelectCandidates(fleet, QueryOf(subject), random);
       EXPECT_LE(candidates.Rows.size(), 120U);
-      EXPECT_GE(candidates.Homes.size(), 16U);
-      EXPECT_EQ(candidates.Members, upstreams);
+      EXPECT_GE(candidates.HomeRows.size(), 16U);
+      EXPECT_EQ(candidates.ServiceSize, upstreams);
     }
   }
 }
 
-TEST(Candidates, AllOfAFewAreWeighed)
+TEST(Candidates, SelectsAllUpstreamsWhenThereAreFew)
 {
-  gsFleet fleet = Many(gsWeighedWhole);
+  gsFleet fleet = MakeLargeFleet(gsMaxFullyEvaluated);
   gsRandom random(1);
-  gsCandidates candidates = gsCandidatesFor(fleet, AskOf(5), random);
-  EXPECT_EQ(candidates.Rows.size(), gsWeighedWhole);
-  EXPECT_EQ(candidates.Homes.size(), gsWeighedWhole);
+  gsCandidates candidates = gsSelectCandidates(fleet, QueryOf(5), random);
+  EXPECT_EQ(candidates.Rows.size(), gsMaxFullyEvaluated);
+  EXPECT_EQ(candidates.HomeRows.size(), gsMaxFullyEvaluated);
 }
 
-TEST(Candidates, HostsThatLearnedTheListInOtherOrdersAgreeOnHomes)
+TEST(Candidates, SelectsSameHomesWhenRowsWereAddedInAnotherOrder)
 {
-  gsFleet one = Many(3'000);
+  gsFleet one = MakeLargeFleet(3'000);
   gsFleet other;
   other.Settings.Hall = "d";
   for (std::size_t i = 3'000; i-- > 0;) {
-    gsFleetPut(other, Numbered(i), Now);
+    gsFleetUpsert(other, ListedNumber(i), Now);
   }
-  gsFleetPut(other, Listed("gone"), Now);
-  gsFleetDrop(other, "gone");
+  gsFleetUpsert(other, MakeListed("gone"), Now);
+  gsFleetRemove(other, "gone");
   std::size_t agreed = 0;
   for (std::uint64_t subject = 2; subject < 202; ++subject) {
     agreed +=
@@ -205,44 +210,44 @@
   EXPECT_EQ(agreed, 200U);
 }
 
-TEST(Candidates, SubjectsKeepTheirHomesWhenOthersComeAndGo)
+TEST(Candidates, KeepsMostHomesWhenUpstreamsAreReplaced)
 {
-  gsFleet fleet = Many(3'000);
+  gsFleet fleet = MakeLargeFleet(3'000);
   std::map<std::uint64_t, std::string> homes;
   for (std::uint64_t subject = 2; subject < 502; ++subject) {
     homes[subject] = HomeOf(fleet, subject, 1);
   }
-  // A release replaces 3 of 100.
+  // Replaces 3% of the upstreams, as a rolling release does.
   for (std::size_t i = 0; i < 90; ++i) {
-    gsFleetDrop(fleet, "u" + std::to_string(i * 33));
-    gsFleetPut(fleet, Numbered(10'000 + i), Now);
+    gsFleetRemove(fleet, "u" + std::to_string(i * 33));
+    gsFleetUpsert(fleet, ListedNumber(10'000 + i), Now);
   }
   std::size_t moved = 0;
   for (auto const& [subject, home] : homes) {
     moved += HomeOf(fleet, subject, 1) != home ? 1 : 0;
   }
-  // Those of the homes that went, and of those that a new one is home to.
+  // Subjects move if their home was removed or a new upstream is their home.
   EXPECT_LE(moved, 500U * 2 * 3 / 100 + 25);
 }
 
-TEST(Candidates, NoUpstreamIsHomeToManyTimesItsShare)
+TEST(Candidates, BoundsSubjectsPerHomeWhenSubjectsAreMany)
 {
-  gsFleet fleet = Many(1'000);
+  gsFleet fleet = MakeLargeFleet(1'000);
   std::map<std::string, int> subjects;
   for (std::uint64_t subject = 2; subject < 10'002; ++subject) {
     ++subjects[HomeOf(fleet, subject, 1)];
   }
-  int most = 0;
+  int maxSubjects = 0;
   for (auto const& [id, count] : subjects) {
-    most = std::max(most, count);
+    maxSubjects = std::max(maxSubjects, count);
   }
-  EXPECT_LE(most, 40); // Ten each in the mean.
+  EXPECT_LE(maxSubjects, 40); // The mean is 10.
   EXPECT_GE(subjects.size(), 900U);
 }
 
-TEST(Candidates, HomesAreSoughtInTheGroupOfTheRequest)
+TEST(Candidates, SelectsHomesInGroupOfRequest)
 {
-  gsFleet fleet = Many(2'000);
+  gsFleet fleet = MakeLargeFleet(2'000);
   gsEngineArrangement arrangement;
   arrangement.Version = 1;
   arrangement.LongEngines = 500;
@@ -254,23 +259,25 @@
   }
 }
 
-TEST(Candidates, TheLossOfAHallIsBorne)
+TEST(Candidates, PlacesRequestsInOtherHallsWhenHallIsCutOff)
 {
-  gsFleet fleet = Many(3'000);
-  gsHallNoteTold(fleet.Halls, { "b" });
+  gsFleet fleet = MakeLargeFleet(3'000);
+  gsHallSetReportedUnreachable(fleet.HallReachability, { "b" });
   gsRandom random(1);
   for (std::uint64_t subject = 0; subject < 200; ++subject) {
     std::vector<gsPromptPart> parts = PartsOf(subject);
-    gsPlacement placement = gsPlace(fleet, Subject(parts), Now, random);
+    gsPlacement placement =
+      gsPlaceRequest(fleet, RequestOf(parts), Now, random);
     ASSERT_NE(placement.Row, nullptr);
     EXPECT_NE(placement.Row->Listed.Hall, "b");
   }
 }
 
-// None of the first candidates can take anything; some others can.
-TEST(Candidates, ARequestIsNotRefusedWhereManyOthersCouldTakeIt)
+// One in 20 upstreams is available, so that for some requests none of the
+// first candidates is.
+TEST(Candidates, PlacesRequestWhenFirstCandidatesAreUnavailable)
 {
-  gsFleet fleet = Many(1'000);
+  gsFleet fleet = MakeLargeFleet(1'000);
   for (std::size_t i = 0; i < 1'000; ++i) {
     if (i % 20 != 0) {
       gsFleetFind(fleet, "u" + std::to_string(i))->AvoidUntil =
@@ -280,23 +287,24 @@
   gsRandom random(1);
   for (std::uint64_t subject = 0; subject < 100; ++subject) {
     std::vector<gsPromptPart> parts = PartsOf(subject);
-    EXPECT_NE(gsPlace(fleet, Subject(parts), Now, random).Row, nullptr);
+    EXPECT_NE(gsPlaceRequest(fleet, RequestOf(parts), Now, random).Row,
+              nullptr);
   }
 }
 
-TEST(Candidates, RequestsWithoutASubjectGoToTheOwnHallFirst)
+TEST(Candidates, PrefersOwnHallWhenRequestHasNoSubject)
 {
-  gsFleet fleet = Many(1'200);
+  gsFleet fleet = MakeLargeFleet(1'200);
   gsRandom random(1);
-  gsPlacementAsk ask = Plain();
-  ask.Group = gsFleetGroup::Any;
+  gsPlacementRequest request = MakeLongRequest();
+  request.Group = gsFleetGroup::Any;
   std::size_t own = 0;
   std::set<std::string> chosen;
   for (int i = 0; i < 200; ++i) {
-    gsFleetRow const& row = *gsPlace(fleet, ask, Now, random).Row;
+    gsFleetRow const& row = *gsPlaceRequest(fleet, request, Now, random).Row;
     own += row.Listed.Hall == "a" ? 1 : 0;
     chosen.insert(row.Listed.Id);
   }
   EXPECT_GE(own, 195U);
-  EXPECT_GE(chosen.size(), 80U); // Of 200 upstreams there.
+  EXPECT_GE(chosen.size(), 80U); // Of 200 upstreams of the hall.
 }
--- a/Tests/Unit/gsTestCrowding.cxx
+++ b/Tests/Unit/gsTestCrowding.cxx
@@ -1,18 +1,19 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * Many hosts choose among engines that are nearly full, each by what it last
- * heard of the others.
+ * Tests of placement by many hosts on nearly full engines, with delayed load
+ * data.
  *
- * Seen: in a burst, with all engines over their slots, the most urgent kind
- * was turned away by full engines, 162 requests in 4 s, while less urgent ones
- * of over twice its size were taken elsewhere. It may be sent to one engine
- * only, so each of these got nothing. The logs of all hosts showed how: one
- * engine had fallen to 8 requests where the others had 20 and more; within
- * 160 ms 45 requests of both kinds came to it, from hosts of which each
- * believed 11 to be there, and its queue turned away what came next. The
- * views were no older than usual: what each host left out was that all others
- * choose by the same view. Shown by hosts that share one view.
+ * Guards against herding: hosts with the same load data all choose the
+ * emptiest engine. In a burst with all engines above their slots, full engines
+ * rejected 162 requests of the most urgent kind in 4 s, while other engines
+ * accepted less urgent requests of more than twice the size. Requests of the
+ * most urgent kind may be sent to one engine only, so each of these failed.
+ * One engine had dropped to 8 requests while others had 20 or more. Within
+ * 160 ms it received 45 requests of both kinds, each from a host whose load
+ * data showed 11 requests there, and its queue overflowed. The load data was
+ * not older than usual, but no host considered that all others choose by the
+ * same data. The tests use hosts that all have the same load data.
  */
 #include <map>
 #include <string>
@@ -30,11 +31,12 @@
 constexpr std::size_t Engines = 112;
 constexpr std::size_t Hosts = 87;
 constexpr std::uint32_t Slots = 12;
-constexpr std::uint32_t Queue = 25; ///< Behind the slots of an engine.
+constexpr std::uint32_t Queue =
+  25; ///< Queue length of an engine in addition to its slots.
 constexpr double TokenMillis = 0.02;
 constexpr gsTime Hold = gsMilliseconds(2500);
 
-/** The fleet as every host sees it: all engines have queues. */
+/** A fleet of equally loaded engines, as known to all hosts. */
 gsFleet CrowdedFleet(std::uint32_t running)
 {
   gsFleet fleet;
@@ -42,54 +44,57 @@
   std::vector<gsListedUpstream> listed;
   listed.reserve(Engines);
   for (std::size_t i = 0; i < Engines; ++i) {
-    listed.push_back(Listed("u" + std::to_string(i)));
+    listed.push_back(MakeListed("u" + std::to_string(i)));
     listed.back().Slots = Slots;
   }
-  gsFleetTake(fleet, listed);
+  gsFleetReplaceListing(fleet, listed);
   for (gsFleetRow& row : fleet.Rows) {
-    row.Others.Running = running;
-    row.OthersAt = Now;
-    gsNoteHold(fleet, row, Hold);
+    row.OthersLoad.OpenAttempts = running;
+    row.OthersReportedAt = Now;
+    gsRecordSlotHold(fleet, row, Hold);
   }
   return fleet;
 }
 
-gsPlacementAsk Short(std::vector<gsPromptPart> const& parts)
+/** A tight request with a short prompt and a target of 600 ms. */
+gsPlacementRequest MakeShortRequest(std::vector<gsPromptPart> const& parts)
 {
-  gsPlacementAsk ask;
+  gsPlacementRequest ask;
   ask.Service = "model";
   ask.Group = gsFleetGroup::Tight;
   ask.Parts = &parts;
   ask.PromptTokens = 826;
   ask.AnswerTokens = 290;
-  ask.TokenMillis = TokenMillis;
+  ask.MillisPerToken = TokenMillis;
   ask.TargetTokens = 600 / TokenMillis;
   ask.Hosts = Hosts;
   return ask;
 }
 
-std::vector<gsPromptPart> PartsOf(std::uint64_t subject, std::uint64_t own)
+/** Prompt parts: common to all requests, of a subject, and of one request. */
+std::vector<gsPromptPart> PartsOf(std::uint64_t subject, std::uint64_t request)
 {
-  return { { 1, 119 }, { 100 + subject, 79 }, { 10'000 + own, 628 } };
+  return { { 1, 119 }, { 100 + subject, 79 }, { 10'000 + request, 628 } };
 }
 
 } // namespace
 
-TEST(Crowding, HostsWithOneViewDoNotFillTheEmptiestEngine)
+TEST(Crowding, DoesNotOverfillEmptiestEngineWhenHostsShareLoadData)
 {
   constexpr std::uint32_t emptiest = 8;
   for (std::uint64_t requestsEach : { 1, 2 }) {
     std::map<std::string, std::uint32_t> sent;
     for (std::uint64_t host = 0; host < Hosts; ++host) {
       gsFleet fleet = CrowdedFleet(20);
-      fleet.Rows[7].Others.Running = emptiest;
+      fleet.Rows[7].OthersLoad.OpenAttempts = emptiest;
       gsRandom random(host);
       for (std::uint64_t i = 0; i < requestsEach; ++i) {
         std::uint64_t number = host * requestsEach + i;
         std::vector<gsPromptPart> parts = PartsOf(number % 161, number);
-        gsPlacement placement = gsPlace(fleet, Short(parts), Now, random);
+        gsPlacement placement =
+          gsPlaceRequest(fleet, MakeShortRequest(parts), Now, random);
         ASSERT_NE(placement.Row, nullptr);
-        ++placement.Row->Own.Running;
+        ++placement.Row->OwnLoad.OpenAttempts;
         ++sent[placement.Row->Listed.Id];
       }
     }
@@ -98,14 +103,15 @@
   }
 }
 
-TEST(Crowding, OneSubjectOfManyHostsSpreadsOverManyEnginesWhenItsOwnAreFull)
+TEST(Crowding, SpreadsSubjectOfManyHostsWhenItsEnginesAreFull)
 {
   std::map<std::string, std::uint32_t> sent;
   for (std::uint64_t host = 0; host < Hosts; ++host) {
     gsFleet fleet = CrowdedFleet(30);
     gsRandom random(host);
     std::vector<gsPromptPart> parts = PartsOf(5, host);
-    gsPlacement placement = gsPlace(fleet, Short(parts), Now, random);
+    gsPlacement placement =
+      gsPlaceRequest(fleet, MakeShortRequest(parts), Now, random);
     ASSERT_NE(placement.Row, nullptr);
     ++sent[placement.Row->Listed.Id];
   }
@@ -115,11 +121,11 @@
   EXPECT_GE(sent.size(), 8U);
 }
 
-TEST(Crowding, LessUrgentWorkLeavesPlacesForTheMostUrgent)
+TEST(Crowding, ReservesCapacityForMoreUrgentRequests)
 {
   gsFleet fleet = CrowdedFleet(2 * Slots);
   std::vector<gsPromptPart> parts = PartsOf(5, 1);
-  gsPlacementAsk ask = Short(parts);
+  gsPlacementRequest ask = MakeShortRequest(parts);
   ask.Hosts = 1;
   constexpr std::uint64_t requests = 400;
   auto placed = [&](std::uint32_t moreUrgentKinds) {
@@ -127,49 +133,50 @@
     std::uint64_t count = 0;
     for (std::uint64_t seed = 0; seed < requests; ++seed) {
       gsRandom random(seed);
-      count += gsPlace(fleet, ask, Now, random).Row != nullptr ? 1 : 0;
+      count += gsPlaceRequest(fleet, ask, Now, random).Row != nullptr ? 1 : 0;
     }
     return count;
   };
   EXPECT_EQ(placed(0), requests);
-  // All but the few that may pass, so that no kind is shut out.
+  // A few are placed nevertheless, so that no kind is starved.
   EXPECT_LE(placed(1), requests / 10);
-  // One place is enough for a host that is alone, wherever it is.
-  fleet.Rows[70].Others.Running = Slots;
+  // A single host needs only one engine with free capacity, at any position.
+  fleet.Rows[70].OthersLoad.OpenAttempts = Slots;
   EXPECT_EQ(placed(1), requests);
-  // The less urgent, the fewer places.
-  fleet.Rows[70].Others.Running = Slots + Slots / 2;
+  // The less urgent the request, the less capacity it may use.
+  fleet.Rows[70].OthersLoad.OpenAttempts = Slots + Slots / 2;
   EXPECT_EQ(placed(1), requests);
   EXPECT_LE(placed(2), requests / 10);
 }
 
-TEST(Crowding, WhereFewHostsChooseAllEnginesAreLookedAt)
+TEST(Crowding, ConsidersAllEnginesWhenHostsAreFew)
 {
   gsFleet fleet = CrowdedFleet(20);
-  fleet.Rows[7].Others.Running = 0;
+  fleet.Rows[7].OthersLoad.OpenAttempts = 0;
   std::vector<gsPromptPart> parts = PartsOf(5, 1);
-  gsPlacementAsk ask = Short(parts);
+  gsPlacementRequest ask = MakeShortRequest(parts);
   ask.Hosts = 1;
   gsRandom random(1);
-  gsPlacement placement = gsPlace(fleet, ask, Now, random);
+  gsPlacement placement = gsPlaceRequest(fleet, ask, Now, random);
   EXPECT_EQ(placement.Row, &fleet.Rows[7]);
-  EXPECT_EQ(placement.Candidates, Engines);
+  EXPECT_EQ(placement.CandidateCount, Engines);
 }
 
-// A request that the first looks find no place for looks at all engines, as
-// all hosts do then: none of them may go to the one that all see as emptiest.
-TEST(Crowding, LessUrgentWorkOfManyHostsLeavesPlacesForTheMostUrgent)
+// A request that does not fit on any of the first candidates considers all
+// engines, on all hosts at the same time. Guards against all of them choosing
+// the engine that appears emptiest.
+TEST(Crowding, ReservesCapacityForMoreUrgentRequestsWithManyHosts)
 {
   constexpr std::uint32_t emptiest = 8;
   std::map<std::string, std::uint32_t> sent;
   for (std::uint64_t host = 0; host < Hosts; ++host) {
     gsFleet fleet = CrowdedFleet(2 * Slots);
-    fleet.Rows[7].Others.Running = emptiest;
+    fleet.Rows[7].OthersLoad.OpenAttempts = emptiest;
     gsRandom random(host);
     std::vector<gsPromptPart> parts = PartsOf(host, host);
-    gsPlacementAsk ask = Short(parts);
+    gsPlacementRequest ask = MakeShortRequest(parts);
     ask.MoreUrgentKinds = 1;
-    gsPlacement placement = gsPlace(fleet, ask, Now, random);
+    gsPlacement placement = gsPlaceRequest(fleet, ask, Now, random);
     if (placement.Row != nullptr) {
       ++sent[placement.Row->Listed.Id];
     }
@@ -178,9 +185,9 @@
   EXPECT_GT(sent["u7"], 0U);
 }
 
-// How long an engine holds its slots is not known at a start, and a route may
-// have no target: neither makes a full engine one with places.
-TEST(Crowding, ASubjectWhoseOwnEnginesAreFullGoesToFreeSlots)
+// Guards against choosing full engines as long as slot hold times are unknown
+// after a start, or for routes without a target.
+TEST(Crowding, UsesFreeSlotsWhenEnginesOfSubjectAreFull)
 {
   constexpr std::size_t hosts = 340;
   constexpr std::uint32_t running = 8;
@@ -188,23 +195,24 @@
     gsFleet fleet = CrowdedFleet(running);
     fleet.Demand.clear();
     std::vector<gsPromptPart> parts = PartsOf(5, 1);
-    gsPlacementAsk ask = Short(parts);
+    gsPlacementRequest ask = MakeShortRequest(parts);
     ask.Hosts = hosts;
     ask.TargetTokens = hasTarget ? ask.TargetTokens : 0;
-    // The engines of the subject, as this choice shows, fill one by one.
-    constexpr int own = 4;
-    for (int i = 0; i < own; ++i) {
+    // The preferred engines of the subject are filled one after the other.
+    constexpr int ownEngines = 4;
+    for (int i = 0; i < ownEngines; ++i) {
       gsRandom random(static_cast<std::uint64_t>(i));
-      gsPlacement placement = gsPlace(fleet, ask, Now, random);
+      gsPlacement placement = gsPlaceRequest(fleet, ask, Now, random);
       ASSERT_NE(placement.Row, nullptr);
-      EXPECT_EQ(placement.Row->Others.Running, running) << hasTarget;
-      placement.Row->Others.Running = Slots + Queue;
+      EXPECT_EQ(placement.Row->OthersLoad.OpenAttempts, running) << hasTarget;
+      placement.Row->OthersLoad.OpenAttempts = Slots + Queue;
     }
   }
 }
 
-// The looks of a request may all have fallen on full engines.
-TEST(Crowding, ARequestIsNotSentToAFullEngineWhileOthersHavePlaces)
+// Guards against choosing a full engine because all examined candidates happen
+// to be full.
+TEST(Crowding, AvoidsFullEnginesWhileOthersHaveCapacity)
 {
   constexpr std::uint64_t requests = 50;
   constexpr std::size_t full = 100;
@@ -212,19 +220,22 @@
   for (std::uint64_t i = 0; i < requests; ++i) {
     gsFleet fleet = CrowdedFleet(Slots + Queue);
     for (std::size_t row = full; row < Engines; ++row) {
-      fleet.Rows[row].Others.Running = 2 * Slots;
+      fleet.Rows[row].OthersLoad.OpenAttempts = 2 * Slots;
     }
     gsRandom random(i);
     std::vector<gsPromptPart> parts = PartsOf(i, i);
-    gsPlacement placement = gsPlace(fleet, Short(parts), Now, random);
+    gsPlacement placement =
+      gsPlaceRequest(fleet, MakeShortRequest(parts), Now, random);
     ASSERT_NE(placement.Row, nullptr);
-    turnedAway += placement.Row->Others.Running >= Slots + Queue ? 1 : 0;
+    turnedAway +=
+      placement.Row->OthersLoad.OpenAttempts >= Slots + Queue ? 1 : 0;
   }
   EXPECT_EQ(turnedAway, 0U);
 }
 
-// A service without prompts sends its bytes between halls where it need not.
-TEST(Crowding, AnIdleUpstreamOfTheOwnHallGoesBeforeOthers)
+// Guards against unnecessary traffic between halls by a service without
+// prompts.
+TEST(Crowding, PrefersIdleUpstreamsOfOwnHall)
 {
   constexpr std::uint64_t requests = 50;
   constexpr int upstreams = 12;
@@ -236,32 +247,32 @@
     listed.reserve(upstreams);
     for (int n = 0; n < upstreams; ++n) {
       listed.push_back(
-        Listed("p" + std::to_string(n), n % 3 == 0 ? "a" : "b"));
+        MakeListed("p" + std::to_string(n), n % 3 == 0 ? "a" : "b"));
     }
-    gsFleetTake(fleet, listed);
+    gsFleetReplaceListing(fleet, listed);
     gsRandom random(i);
-    gsPlacementAsk ask;
+    gsPlacementRequest ask;
     ask.Service = "model";
     ask.Hosts = Hosts;
-    gsPlacement placement = gsPlace(fleet, ask, Now, random);
+    gsPlacement placement = gsPlaceRequest(fleet, ask, Now, random);
     ASSERT_NE(placement.Row, nullptr);
     elsewhere += placement.Row->Listed.Hall == "a" ? 0 : 1;
   }
   EXPECT_EQ(elsewhere, 0U);
 }
 
-// Every kind gets served in the end, however long more urgent ones press.
-TEST(Crowding, ALessUrgentKindIsNotShutOutForAsLongAsUrgentOnesPress)
+// Guards against starvation of less urgent kinds by continuous urgent load.
+TEST(Crowding, DoesNotStarveLessUrgentKindUnderUrgentLoad)
 {
   gsFleet fleet = CrowdedFleet(2 * Slots);
   std::vector<gsPromptPart> parts = PartsOf(5, 1);
-  gsPlacementAsk ask = Short(parts);
+  gsPlacementRequest ask = MakeShortRequest(parts);
   ask.MoreUrgentKinds = 1;
   std::uint64_t placed = 0;
   constexpr std::uint64_t requests = 1000;
   for (std::uint64_t i = 0; i < requests; ++i) {
     gsRandom random(i);
-    placed += gsPlace(fleet, ask, Now, random).Row != nullptr ? 1 : 0;
+    placed += gsPlaceRequest(fleet, ask, Now, random).Row != nullptr ? 1 : 0;
   }
   EXPECT_GT(placed, 0U);
 }
--- a/Tests/Unit/gsTestDocument.cxx
+++ b/Tests/Unit/gsTestDocument.cxx
@@ -1,8 +1,8 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * Changes of the configuration document: revisions, conflicts and states that
- * only move forward.
+ * Tests changes of the configuration document: overrides, revisions, conflicts
+ * and the order of upstream states.
  */
 #include <gtest/gtest.h>
 
@@ -10,7 +10,7 @@
 
 namespace {
 
-gsDocument Start()
+gsDocument MakeDocument()
 {
   gsDocument document;
   gsResult<gsChange> change = gsApplyChange(document, R"({
@@ -32,21 +32,21 @@
 
 } // namespace
 
-TEST(Document, OverridesOfAnOrganisationApply)
+TEST(Document, ResolvesClassWithOrganisationOverrides)
 {
-  gsDocument document = Start();
+  gsDocument document = MakeDocument();
   auto resolved = gsResolveClass(document, document.Organisations[0], "t");
   ASSERT_TRUE(resolved);
-  EXPECT_EQ(resolved.value().Tier, 1U);
+  EXPECT_EQ(resolved.value().TierRank, 1U);
   EXPECT_FALSE(resolved.value().Repeatable);
   EXPECT_EQ(
     gsResolveClass(document, document.Organisations[0], "none").error().Code,
     "unknown_template");
 }
 
-TEST(Document, SecondOfTwoRacingChangesIsAConflictThatNamesBoth)
+TEST(Document, ReportsConflictWhenRevisionIsOutdated)
 {
-  gsDocument document = Start();
+  gsDocument document = MakeDocument();
   gsJson change{ { "id", "a" },
                  { "kind", "set_organisation" },
                  { "expected_revision", 1 },
@@ -61,9 +61,9 @@
   EXPECT_EQ(document.Version, 2U);
 }
 
-TEST(Document, AnUpstreamThatHasLeftDoesNotComeBack)
+TEST(Document, StoppedUpstreamIsNeverReactivated)
 {
-  gsDocument document = Start();
+  gsDocument document = MakeDocument();
   ASSERT_TRUE(
     Apply(document,
           { { "id", "a" }, { "kind", "stop_upstream" }, { "name", "u" } }));
@@ -71,7 +71,7 @@
     Apply(document,
           { { "id", "b" }, { "kind", "retire_upstream" }, { "name", "u" } }));
   EXPECT_EQ(document.Upstreams[0].State, gsUpstreamState::Stopped);
-  gsResult<gsChange> back =
+  gsResult<gsChange> readded =
     Apply(document, { { "id", "c" },
                       { "kind", "add_upstream" },
                       { "upstream",
@@ -79,25 +79,25 @@
                           { "hall", "h" },
                           { "service", "m" },
                           { "address", "10.0.0.1:80" } } } });
-  ASSERT_FALSE(back);
-  EXPECT_EQ(back.error().Code, "conflict");
+  ASSERT_FALSE(readded);
+  EXPECT_EQ(readded.error().Code, "conflict");
 }
 
-TEST(Document, AnInvalidChangeLeavesItAsItWas)
+TEST(Document, InvalidChangeLeavesDocumentUnchanged)
 {
-  gsDocument document = Start();
-  std::string before = gsToJson(document).dump();
+  gsDocument document = MakeDocument();
+  std::string original = gsToJson(document).dump();
   EXPECT_FALSE(Apply(document, { { "id", "a" },
                                  { "kind", "set_tiers" },
                                  { "tiers", { { { "name", "other" } } } } }));
   EXPECT_FALSE(Apply(document, { { "kind", "set_tiers" } }));
-  EXPECT_EQ(gsToJson(document).dump(), before);
+  EXPECT_EQ(gsToJson(document).dump(), original);
 }
 
-TEST(Document, JsonAndBackIsTheSame)
+TEST(Document, JsonRoundTripPreservesDocument)
 {
-  gsDocument document = Start();
-  gsResult<gsDocument> back = gsDocumentFromJson(gsToJson(document), "test");
-  ASSERT_TRUE(back) << back.error().Message;
-  EXPECT_EQ(gsToJson(back.value()).dump(), gsToJson(document).dump());
+  gsDocument document = MakeDocument();
+  gsResult<gsDocument> parsed = gsDocumentFromJson(gsToJson(document), "test");
+  ASSERT_TRUE(parsed) << parsed.error().Message;
+  EXPECT_EQ(gsToJson(parsed.value()).dump(), gsToJson(document).dump());
 }
--- a/Tests/Unit/gsTestEventSplitter.cxx
+++ b/Tests/Unit/gsTestEventSplitter.cxx
@@ -1,45 +1,45 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
-/** \file Cutting a stream into whole events. */
+/** \file Tests the division of a stream into whole events. */
 #include <gtest/gtest.h>
 
 #include "gsEventSplitter.h"
 
-TEST(EventSplitter, PassesOnWholeEventsOnly)
+TEST(EventSplitter, ReturnsWholeEventsOnly)
 {
   gsEventSplitter splitter;
-  EXPECT_EQ(splitter.Feed("id: 1\ndata: a\n"), "");
-  EXPECT_EQ(splitter.Feed("\nid: 2\nda"), "id: 1\ndata: a\n\n");
+  EXPECT_EQ(splitter.Append("id: 1\ndata: a\n"), "");
+  EXPECT_EQ(splitter.Append("\nid: 2\nda"), "id: 1\ndata: a\n\n");
   EXPECT_EQ(splitter.LastId(), 1U);
-  EXPECT_EQ(splitter.Feed("ta: b\n\n"), "id: 2\ndata: b\n\n");
+  EXPECT_EQ(splitter.Append("ta: b\n\n"), "id: 2\ndata: b\n\n");
   EXPECT_EQ(splitter.LastId(), 2U);
-  EXPECT_EQ(splitter.Events(), 2U);
-  EXPECT_EQ(splitter.TakeRest(), "");
+  EXPECT_EQ(splitter.EventCount(), 2U);
+  EXPECT_EQ(splitter.TakeRemainder(), "");
 }
 
-TEST(EventSplitter, BytesMayComeOneByOne)
+TEST(EventSplitter, AcceptsSingleBytes)
 {
   std::string text = "id: 1\r\ndata: a\r\n\r\nid: 2\ndata: b\n\nrest";
   gsEventSplitter splitter;
-  std::string got;
+  std::string events;
   for (char byte : text) {
-    got += splitter.Feed({ &byte, 1 });
+    events += splitter.Append({ &byte, 1 });
   }
-  EXPECT_EQ(got, "id: 1\r\ndata: a\r\n\r\nid: 2\ndata: b\n\n");
-  EXPECT_EQ(splitter.TakeRest(), "rest");
+  EXPECT_EQ(events, "id: 1\r\ndata: a\r\n\r\nid: 2\ndata: b\n\n");
+  EXPECT_EQ(splitter.TakeRemainder(), "rest");
 }
 
-TEST(EventSplitter, SkipsWhatTheCallerHas)
+TEST(EventSplitter, SkipsEventsThatCallerHasReceived)
 {
   gsEventSplitter splitter;
   splitter.SkipThrough(2);
-  EXPECT_EQ(splitter.Feed("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"), "");
-  EXPECT_EQ(splitter.Feed("id: 3\ndata: c\n\n"), "id: 3\ndata: c\n\n");
+  EXPECT_EQ(splitter.Append("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"), "");
+  EXPECT_EQ(splitter.Append("id: 3\ndata: c\n\n"), "id: 3\ndata: c\n\n");
   EXPECT_EQ(splitter.LastId(), 3U);
 }
 
-TEST(EventSplitter, AnEventMayHaveNoId)
+TEST(EventSplitter, AcceptsEventWithoutId)
 {
   gsEventSplitter splitter;
-  EXPECT_EQ(splitter.Feed("data: identity: x\n\n"), "data: identity: x\n\n");
+  EXPECT_EQ(splitter.Append("data: identity: x\n\n"), "data: identity: x\n\n");
   EXPECT_FALSE(splitter.LastId().has_value());
 }
--- a/Tests/Unit/gsTestHallMembership.cxx
+++ b/Tests/Unit/gsTestHallMembership.cxx
@@ -1,10 +1,11 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * Membership in two levels with 30 to 1,000 hosts in one process, over a
- * simulated network: starts of all at once, dead seeds, cut halls, killed and
- * frozen coordinators, links that lose one direction, rolling restarts; and
- * that links, messages and bytes a host do not grow with the system.
+ * Tests of the two-level membership with 30 to 1,000 hosts in one process and
+ * a simulated network: simultaneous starts, stale seeds, partitioned halls,
+ * killed and frozen coordinators, links that lose the messages of one
+ * direction, and rolling restarts. They also check that the number of links,
+ * messages and bytes per host does not grow with the system.
  */
 #include <algorithm>
 #include <map>
@@ -21,25 +22,26 @@
 constexpr gsTime Step = gsMilliseconds(20);
 constexpr gsTime TickPeriod = gsMilliseconds(100);
 constexpr std::size_t Halls = 6;
-/** Of a host's row on the wire; names, address and numbers. */
+/** Approximate size of a host's description on the wire: names, address and
+ * numbers. */
 constexpr std::size_t RowBytes = 60;
 constexpr std::size_t FrameBytes = 40;
 
 std::size_t BytesOf(gsHallMessage const& message)
 {
-  std::size_t rows = message.Self ? 1 : 0;
+  std::size_t rows = message.Sender ? 1 : 0;
   std::size_t bytes = FrameBytes;
   if (message.Digest) {
-    rows += message.Digest->Receivers.First.size();
-    for (gsHallSummary const& summary : message.Digest->Others) {
-      rows += summary.First.size();
+    rows += message.Digest->ReceiverHall.FirstHosts.size();
+    for (gsHallSummary const& summary : message.Digest->OtherHalls) {
+      rows += summary.FirstHosts.size();
       bytes += summary.Hall.size() + 4;
     }
   }
   return bytes + rows * RowBytes;
 }
 
-std::string Sentence(std::vector<std::string> const& words)
+std::string JoinWords(std::vector<std::string> const& words)
 {
   std::string text;
   for (std::string const& word : words) {
@@ -48,21 +50,22 @@
   return text;
 }
 
-/** One process of a host. */
+/** A simulated process of a host. */
 struct Node
 {
   gsHallMembership Table;
   gsTime NextTick{};
   gsTime FrozenUntil{};
-  bool Up = true;
+  bool IsRunning = true;
   std::size_t Sent = 0;
   std::size_t BytesSent = 0;
   std::size_t Received = 0;
-  /** Hosts that it has dialled or was dialled by, since the last count. */
+  /** Hosts with which it exchanged messages since the last ResetCounts. */
   std::set<std::string> Links;
 };
 
-struct Flight
+/** A message in transit. */
+struct MessageInTransit
 {
   gsTime At{};
   std::string From;
@@ -70,6 +73,7 @@
   gsHallMessage Message;
 };
 
+/** Hosts that exchange messages through a simulated network. */
 class Network
 {
 public:
@@ -81,11 +85,11 @@
       self.Host = "entry-" + std::to_string(i);
       self.Address = self.Host + ":1";
       self.Incarnation = 1;
-      // As in a system with a few strong hosts a hall.
+      // Three hosts of each hall have a higher CPU share than the others.
       self.Millicores = i < 3 * Halls ? 500 : 120;
       this->Rows.push_back(self);
     }
-    // Three seeds in three halls; stale ones name nobody.
+    // Three seeds in three halls. Stale seeds are addresses of no host.
     for (std::size_t i = 0; i < 3; ++i) {
       this->Seeds.push_back(i < deadSeeds ? "gone-" + std::to_string(i)
                                           : this->Rows[i].Address);
@@ -97,7 +101,8 @@
   {
     std::uniform_int_distribution<int> delay(0, 14);
     for (gsHallHost const& row : this->Rows) {
-      this->Later[this->Now + Step * delay(this->Random)].push_back(row.Host);
+      this->ScheduledStarts[this->Now + Step * delay(this->Random)].push_back(
+        row.Host);
     }
   }
 
@@ -111,13 +116,16 @@
     this->Nodes[host] = std::move(node);
   }
 
-  void Kill(std::string const& host) { this->Nodes.at(host).Up = false; }
+  void Kill(std::string const& host)
+  {
+    this->Nodes.at(host).IsRunning = false;
+  }
 
   void Run(gsTime span)
   {
     for (gsTime end = this->Now + span; this->Now < end; this->Now += Step) {
-      auto due = this->Later.find(this->Now);
-      if (due != this->Later.end()) {
+      auto due = this->ScheduledStarts.find(this->Now);
+      if (due != this->ScheduledStarts.end()) {
         for (std::string const& host : due->second) {
           this->Start(host);
         }
@@ -131,61 +139,65 @@
   {
     std::vector<std::string> hosts;
     for (auto const& [host, node] : this->Nodes) {
-      if (node.Up && (hall.empty() || node.Table.Self.Hall == hall)) {
+      if (node.IsRunning && (hall.empty() || node.Table.Self.Hall == hall)) {
         hosts.push_back(host);
       }
     }
     return hosts;
   }
 
-  /** The order of a hall's duties if all knew all. */
-  std::vector<std::string> TrueOrder(std::string const& hall) const
+  /** The duty order of a hall on a host that knows all of its live hosts. */
+  std::vector<std::string> ExpectedDutyOrder(std::string const& hall) const
   {
     gsHallMembership all;
     all.Self.Leaving = true;
     all.Self.Hall = hall;
     for (std::string const& host : this->LiveHosts(hall)) {
-      gsHallPeer& peer = all.Hall[host];
+      gsHallPeer& peer = all.HallPeers[host];
       peer.Host = this->Nodes.at(host).Table.Self;
-      peer.Heard = this->Now;
+      peer.ReceivedAt = this->Now;
     }
-    return gsHallOrder(all, this->Now);
+    return gsHallDutyOrder(all, this->Now);
   }
 
-  /** Empty if every host knows its coordinators and the system's size, and
-   * each duty has one host; else what is wrong first. */
-  std::string Problem() const
+  /** Description of the first inconsistency; empty if every host knows the
+   * coordinators of its hall and the size of the system, and exactly one host
+   * decides for the system. */
+  std::string FindInconsistency() const
   {
     std::size_t all = this->LiveHosts().size();
-    std::size_t deciders = 0;
+    std::size_t deciderCount = 0;
     for (std::string const& hall : this->LiveHalls()) {
-      std::vector<std::string> order = this->TrueOrder(hall);
+      std::vector<std::string> order = this->ExpectedDutyOrder(hall);
       std::size_t count = std::min<std::size_t>(order.size(), 3);
       order.resize(count);
       for (std::string const& host : this->LiveHosts(hall)) {
         gsHallMembership const& table = this->Nodes.at(host).Table;
-        std::vector<std::string> known = gsHallOrder(table, this->Now);
-        known.resize(std::min(known.size(), count));
-        if (known != order) {
-          return Sentence({ host, "does not know the coordinators of", hall });
+        std::vector<std::string> localOrder =
+          gsHallDutyOrder(table, this->Now);
+        localOrder.resize(std::min(localOrder.size(), count));
+        if (localOrder != order) {
+          return JoinWords(
+            { host, "does not know the coordinators of", hall });
         }
         if (gsSystemSize(table, this->Now) != all) {
-          return Sentence({ host, "counts",
-                            std::to_string(gsSystemSize(table, this->Now)),
-                            "of", std::to_string(all) });
+          return JoinWords({ host, "counts",
+                             std::to_string(gsSystemSize(table, this->Now)),
+                             "of", std::to_string(all) });
         }
-        deciders += gsHallDecides(table, this->Now) ? 1 : 0;
+        deciderCount += gsIsSystemLeader(table, this->Now) ? 1 : 0;
       }
     }
-    return deciders == 1 ? std::string()
-                         : std::to_string(deciders) + " hosts decide";
+    return deciderCount == 1 ? std::string()
+                             : std::to_string(deciderCount) + " hosts decide";
   }
 
-  /** Runs until there is no problem; the time that it took. */
-  gsTime Settle(gsTime most)
+  /** Runs until there is no inconsistency or a timeout has passed. \return The
+   * time that it took. */
+  gsTime RunUntilConsistent(gsTime timeout)
   {
     gsTime begin = this->Now;
-    while (!this->Problem().empty() && this->Now - begin < most) {
+    while (!this->FindInconsistency().empty() && this->Now - begin < timeout) {
       this->Run(gsMilliseconds(100));
     }
     return this->Now - begin;
@@ -218,43 +230,44 @@
   std::map<std::string, Node> Nodes;
   std::vector<gsHallHost> Rows;
   std::vector<std::string> Seeds;
-  std::string CutHall;        ///< Cut off from all others.
-  std::set<std::string> Deaf; ///< "from>to": what is sent is lost.
-  std::map<gsTime, std::vector<std::string>> Later;
+  std::string PartitionedHall;      ///< Partitioned from all other halls.
+  std::set<std::string> LossyLinks; ///< "from>to": messages are lost.
+  /** Hosts to be started, by time. */
+  std::map<gsTime, std::vector<std::string>> ScheduledStarts;
   gsTime Now = gsSeconds(10);
 
 private:
-  bool Passes(Flight const& flight) const
+  bool IsDelivered(MessageInTransit const& transit) const
   {
-    auto to = this->Nodes.find(flight.To);
-    if (to == this->Nodes.end() || !to->second.Up ||
-        this->Deaf.count(flight.From + ">" + flight.To) != 0) {
+    auto to = this->Nodes.find(transit.To);
+    if (to == this->Nodes.end() || !to->second.IsRunning ||
+        this->LossyLinks.count(transit.From + ">" + transit.To) != 0) {
       return false;
     }
-    std::string const& hallFrom = this->Nodes.at(flight.From).Table.Self.Hall;
+    std::string const& hallFrom = this->Nodes.at(transit.From).Table.Self.Hall;
     std::string const& hallTo = to->second.Table.Self.Hall;
-    return hallFrom == hallTo ||
-           (hallFrom != this->CutHall && hallTo != this->CutHall);
+    return hallFrom == hallTo || (hallFrom != this->PartitionedHall &&
+                                  hallTo != this->PartitionedHall);
   }
 
   void DeliverAll()
   {
-    std::vector<Flight> arrived;
-    std::vector<Flight> waiting;
-    for (Flight& flight : this->Flights) {
-      auto to = this->Nodes.find(flight.To);
+    std::vector<MessageInTransit> arrived;
+    std::vector<MessageInTransit> waiting;
+    for (MessageInTransit& transit : this->MessagesInTransit) {
+      auto to = this->Nodes.find(transit.To);
       bool frozen =
         to != this->Nodes.end() && to->second.FrozenUntil > this->Now;
-      bool due = flight.At <= this->Now && !frozen;
-      (due ? arrived : waiting).push_back(std::move(flight));
+      bool due = transit.At <= this->Now && !frozen;
+      (due ? arrived : waiting).push_back(std::move(transit));
     }
-    this->Flights = std::move(waiting);
-    for (Flight const& flight : arrived) {
-      if (this->Passes(flight)) {
-        Node& node = this->Nodes.at(flight.To);
+    this->MessagesInTransit = std::move(waiting);
+    for (MessageInTransit const& transit : arrived) {
+      if (this->IsDelivered(transit)) {
+        Node& node = this->Nodes.at(transit.To);
         ++node.Received;
-        node.Links.insert(flight.From);
-        gsHallHear(node.Table, flight.From, flight.Message, this->Now);
+        node.Links.insert(transit.From);
+        gsHallReceive(node.Table, transit.From, transit.Message, this->Now);
       }
     }
   }
@@ -262,12 +275,12 @@
   void TickAll()
   {
     for (auto& [host, node] : this->Nodes) {
-      if (!node.Up || node.FrozenUntil > this->Now ||
+      if (!node.IsRunning || node.FrozenUntil > this->Now ||
           node.NextTick > this->Now) {
         continue;
       }
       if (this->Now - node.NextTick > gsSeconds(1)) {
-        gsHallNoteStall(node.Table, this->Now);
+        gsHallRecordStall(node.Table, this->Now);
       }
       node.NextTick = this->Now + TickPeriod;
       for (gsHallMessage& message :
@@ -276,22 +289,22 @@
         ++node.Sent;
         node.BytesSent += BytesOf(message);
         node.Links.insert(to);
-        this->Flights.push_back(
+        this->MessagesInTransit.push_back(
           { this->Now + Step, host, to, std::move(message) });
       }
     }
   }
 
-  std::vector<Flight> Flights;
+  std::vector<MessageInTransit> MessagesInTransit;
   gsRandom Random{ 11 };
 };
 
-Network Settled(std::size_t hosts)
+Network ConsistentNetwork(std::size_t hosts)
 {
   Network network(hosts);
   network.StartAll();
   network.Run(gsSeconds(8));
-  EXPECT_EQ(network.Problem(), "") << hosts;
+  EXPECT_EQ(network.FindInconsistency(), "") << hosts;
   return network;
 }
 
@@ -300,24 +313,26 @@
 
 } // namespace
 
-TEST_P(HallMembershipOfSize, AllStartAtOnce)
+TEST_P(HallMembershipOfSize, ConvergesWhenAllStartAtOnce)
 {
   Network network(GetParam());
   network.StartAll();
-  EXPECT_LE(network.Settle(gsSeconds(10)), gsSeconds(4)) << network.Problem();
+  EXPECT_LE(network.RunUntilConsistent(gsSeconds(10)), gsSeconds(4))
+    << network.FindInconsistency();
 }
 
-TEST_P(HallMembershipOfSize, TwoOfThreeSeedsAreStale)
+TEST_P(HallMembershipOfSize, ConvergesWhenTwoOfThreeSeedsAreStale)
 {
   Network network(GetParam(), 2);
   network.StartAll();
-  EXPECT_LE(network.Settle(gsSeconds(14)), gsSeconds(8)) << network.Problem();
+  EXPECT_LE(network.RunUntilConsistent(gsSeconds(14)), gsSeconds(8))
+    << network.FindInconsistency();
 }
 
-TEST_P(HallMembershipOfSize, AHallIsCutOffAndComesBack)
+TEST_P(HallMembershipOfSize, ConvergesAfterPartitionOfHall)
 {
-  Network network = Settled(GetParam());
-  network.CutHall = "hall-b";
+  Network network = ConsistentNetwork(GetParam());
+  network.PartitionedHall = "hall-b";
   network.Run(gsSeconds(6));
   std::size_t all = network.LiveHosts().size();
   std::size_t cut = network.LiveHosts("hall-b").size();
@@ -326,59 +341,63 @@
     bool inside = table.Self.Hall == "hall-b";
     EXPECT_EQ(gsSystemSize(table, network.Now), inside ? cut : all - cut);
   }
-  network.CutHall.clear();
-  EXPECT_LE(network.Settle(gsSeconds(12)), gsSeconds(7)) << network.Problem();
+  network.PartitionedHall.clear();
+  EXPECT_LE(network.RunUntilConsistent(gsSeconds(12)), gsSeconds(7))
+    << network.FindInconsistency();
 }
 
-TEST_P(HallMembershipOfSize, AThirdIsKilled)
+TEST_P(HallMembershipOfSize, ConvergesWhenThirdOfHostsIsKilled)
 {
-  Network network = Settled(GetParam());
+  Network network = ConsistentNetwork(GetParam());
   int index = 0;
   for (std::string const& host : network.LiveHosts()) {
     if (index++ % 3 == 0) {
       network.Kill(host);
     }
   }
-  EXPECT_LE(network.Settle(gsSeconds(12)), gsSeconds(9)) << network.Problem();
+  EXPECT_LE(network.RunUntilConsistent(gsSeconds(12)), gsSeconds(9))
+    << network.FindInconsistency();
 }
 
-TEST_P(HallMembershipOfSize, CoordinatorsAreKilledOneAfterTheOther)
+TEST_P(HallMembershipOfSize, ConvergesWhenCoordinatorsAreKilledInTurn)
 {
-  Network network = Settled(GetParam());
+  Network network = ConsistentNetwork(GetParam());
   for (int i = 0; i < 3; ++i) {
-    network.Kill(network.TrueOrder("hall-c").front());
-    EXPECT_LE(network.Settle(gsSeconds(12)), gsSeconds(7))
-      << network.Problem();
+    network.Kill(network.ExpectedDutyOrder("hall-c").front());
+    EXPECT_LE(network.RunUntilConsistent(gsSeconds(12)), gsSeconds(7))
+      << network.FindInconsistency();
   }
 }
 
-TEST_P(HallMembershipOfSize, AllThatWereNamedBeforehandAreKilledAtOnce)
+TEST_P(HallMembershipOfSize, ConvergesWhenAllCandidatesAreKilled)
 {
-  Network network = Settled(GetParam());
-  std::vector<std::string> order = network.TrueOrder("hall-d");
-  std::size_t most = std::min<std::size_t>(order.size() - 1, 6);
-  for (std::size_t i = 0; i < most; ++i) {
+  Network network = ConsistentNetwork(GetParam());
+  std::vector<std::string> order = network.ExpectedDutyOrder("hall-d");
+  std::size_t killed = std::min<std::size_t>(order.size() - 1, 6);
+  for (std::size_t i = 0; i < killed; ++i) {
     network.Kill(order[i]);
   }
-  EXPECT_LE(network.Settle(gsSeconds(20)), gsSeconds(12)) << network.Problem();
+  EXPECT_LE(network.RunUntilConsistent(gsSeconds(20)), gsSeconds(12))
+    << network.FindInconsistency();
 }
 
-TEST_P(HallMembershipOfSize, AllAreKilledAndStartAgain)
+TEST_P(HallMembershipOfSize, ConvergesWhenAllHostsRestart)
 {
-  Network network = Settled(GetParam());
+  Network network = ConsistentNetwork(GetParam());
   for (std::string const& host : network.LiveHosts()) {
     network.Kill(host);
   }
   network.Run(gsMilliseconds(1300));
   network.StartAll();
   network.Run(gsMilliseconds(400));
-  EXPECT_LE(network.Settle(gsSeconds(10)), gsSeconds(4)) << network.Problem();
+  EXPECT_LE(network.RunUntilConsistent(gsSeconds(10)), gsSeconds(4))
+    << network.FindInconsistency();
 }
 
-TEST_P(HallMembershipOfSize, AFrozenCoordinatorWakes)
+TEST_P(HallMembershipOfSize, RelayIsReplacedWhenFrozen)
 {
-  Network network = Settled(GetParam());
-  std::string first = network.TrueOrder("hall-a").front();
+  Network network = ConsistentNetwork(GetParam());
+  std::string first = network.ExpectedDutyOrder("hall-a").front();
   network.Nodes.at(first).FrozenUntil = network.Now + gsSeconds(5);
   network.Run(gsSeconds(4));
   for (std::string const& host : network.LiveHosts("hall-a")) {
@@ -388,34 +407,36 @@
     }
   }
   network.Run(gsSeconds(1));
-  EXPECT_LE(network.Settle(gsSeconds(8)), gsSeconds(4)) << network.Problem();
+  EXPECT_LE(network.RunUntilConsistent(gsSeconds(8)), gsSeconds(4))
+    << network.FindInconsistency();
 }
 
-TEST_P(HallMembershipOfSize, ALinkLosesWhatACoordinatorSends)
+TEST_P(HallMembershipOfSize, RelayIsReplacedWhenItsMessagesAreLost)
 {
-  Network network = Settled(GetParam());
-  std::vector<std::string> order = network.TrueOrder("hall-e");
+  Network network = ConsistentNetwork(GetParam());
+  std::vector<std::string> order = network.ExpectedDutyOrder("hall-e");
   std::string const& first = order.front();
   std::string const& last = order.back();
-  network.Deaf.insert(first + ">" + last);
+  network.LossyLinks.insert(first + ">" + last);
   network.Run(gsSeconds(3));
-  // The others still name it, and it may be tried again now and then; but it
-  // is not what this host depends on.
-  std::size_t left = 0;
+  // The other hosts still report the coordinator, so the host may send to it
+  // again after the exclusion; but it must not depend on it as its relay.
+  std::size_t otherRelayCount = 0;
   for (int i = 0; i < 20; ++i) {
     network.Run(gsMilliseconds(200));
     gsHallMembership const& table = network.Nodes.at(last).Table;
-    left += gsHallRelay(table, network.Now) != first ? 1 : 0;
+    otherRelayCount += gsHallRelay(table, network.Now) != first ? 1 : 0;
     EXPECT_EQ(gsSystemSize(table, network.Now), network.LiveHosts().size());
   }
-  EXPECT_GE(left, 6U);
-  network.Deaf.clear();
-  EXPECT_LE(network.Settle(gsSeconds(8)), gsSeconds(4)) << network.Problem();
+  EXPECT_GE(otherRelayCount, 6U);
+  network.LossyLinks.clear();
+  EXPECT_LE(network.RunUntilConsistent(gsSeconds(8)), gsSeconds(4))
+    << network.FindInconsistency();
 }
 
-TEST_P(HallMembershipOfSize, ARollingRestart)
+TEST_P(HallMembershipOfSize, ConvergesAfterRollingRestart)
 {
-  Network network = Settled(GetParam());
+  Network network = ConsistentNetwork(GetParam());
   std::vector<std::string> hosts = network.LiveHosts();
   std::size_t atOnce = std::max<std::size_t>(1, hosts.size() / 60);
   for (std::size_t i = 0; i < hosts.size(); ++i) {
@@ -424,46 +445,49 @@
     network.Kill(hosts[i]);
     network.Start(hosts[i]);
   }
-  EXPECT_LE(network.Settle(gsSeconds(10)), gsSeconds(5)) << network.Problem();
+  EXPECT_LE(network.RunUntilConsistent(gsSeconds(10)), gsSeconds(5))
+    << network.FindInconsistency();
 }
 
-// When the store turned a hall's watcher away, 80 of 83 logged hosts of the
-// hall called it within 30 ms: each took itself for the next in the order.
-TEST_P(HallMembershipOfSize, FewHostsTakeThemselvesForTheNextToWatch)
+// When the store refused a hall's watcher, 80 of 83 logged hosts of the hall
+// called the store within 30 ms, as each considered itself to be the next in
+// the watch order.
+TEST_P(HallMembershipOfSize, FewHostsAreFirstInOwnWatchOrder)
 {
-  Network network = Settled(GetParam());
+  Network network = ConsistentNetwork(GetParam());
   network.Run(gsSeconds(5));
-  std::map<std::string, std::size_t> listed;
+  std::map<std::string, std::size_t> countByHall;
   for (auto const& [host, node] : network.Nodes) {
     gsHallMembership const& table = node.Table;
     std::vector<std::string> order = gsHallWatchOrder(table, network.Now);
-    constexpr std::size_t soon = 10;
-    std::size_t looked = std::min(order.size(), soon);
-    auto end = order.begin() + static_cast<std::ptrdiff_t>(looked);
-    bool isSoon = std::find(order.begin(), end, host) != end;
-    listed[table.Self.Hall] += isSoon ? 1 : 0;
+    constexpr std::size_t maxPosition = 10;
+    std::size_t considered = std::min(order.size(), maxPosition);
+    auto end = order.begin() + static_cast<std::ptrdiff_t>(considered);
+    bool isNearFront = std::find(order.begin(), end, host) != end;
+    countByHall[table.Self.Hall] += isNearFront ? 1 : 0;
   }
-  for (auto const& [hall, count] : listed) {
+  for (auto const& [hall, count] : countByHall) {
     EXPECT_LE(count, 10U) << hall;
     EXPECT_GE(count, 1U) << hall;
   }
 }
 
-TEST_P(HallMembershipOfSize, CostAHostIsBounded)
+TEST_P(HallMembershipOfSize, CostPerHostIsBounded)
 {
-  Network network = Settled(GetParam());
+  Network network = ConsistentNetwork(GetParam());
   network.Run(gsSeconds(10));
   network.ResetCounts();
   constexpr int seconds = 10;
   network.Run(gsSeconds(seconds));
   for (auto const& [host, node] : network.Nodes) {
-    bool coordinates = gsHallCoordinates(node.Table, network.Now);
+    bool coordinates = gsHallIsCoordinator(node.Table, network.Now);
     std::size_t hall = gsHallSize(node.Table, network.Now);
-    // A coordinator: its hall, and three in each of five other halls.
+    // A coordinator has links to its hall and to three hosts in each of five
+    // other halls.
     std::size_t links = coordinates ? hall + 15 : 4;
     EXPECT_LE(node.Links.size(), links) << host;
-    // A host sends one message to each coordinator a second, and now and then
-    // an answer to a coordinator of another hall that asks.
+    // A host sends one message per second to each coordinator, and occasional
+    // replies to requests of coordinators of other halls.
     double perSecond = static_cast<double>(node.Sent) / seconds;
     EXPECT_LE(perSecond,
               coordinates ? 2.2 * static_cast<double>(hall) + 17 : 3.5);
@@ -476,7 +500,7 @@
 INSTANTIATE_TEST_SUITE_P(Sizes, HallMembershipOfSize,
                          testing::Values(30, 100, 300, 1000));
 
-TEST(HallMembership, ASystemOfOneHostStandsAlone)
+TEST(HallMembership, SingleHostIsRelayAndDecides)
 {
   gsHallMembership table;
   gsHallHost self;
@@ -490,13 +514,13 @@
   }
   EXPECT_EQ(gsHallRelay(table, gsSeconds(5)), "entry-1");
   EXPECT_EQ(gsSystemSize(table, gsSeconds(5)), 1U);
-  EXPECT_TRUE(gsHallDecides(table, gsSeconds(5)));
+  EXPECT_TRUE(gsIsSystemLeader(table, gsSeconds(5)));
 }
 
-TEST(HallMembership, AHostThatLeavesHandsItsDutyOnAtOnce)
+TEST(HallMembership, RelayIsReplacedAtOnceWhenLeaving)
 {
-  Network network = Settled(100);
-  std::string first = network.TrueOrder("hall-a").front();
+  Network network = ConsistentNetwork(100);
+  std::string first = network.ExpectedDutyOrder("hall-a").front();
   gsHallLeave(network.Nodes.at(first).Table, network.Now);
   network.Run(gsMilliseconds(200));
   for (std::string const& host : network.LiveHosts("hall-a")) {
--- a/Tests/Unit/gsTestInterference.cxx
+++ b/Tests/Unit/gsTestInterference.cxx
@@ -1,146 +1,152 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
-/** \file What reading a prompt does to the streams beside it. */
+/** \file Tests of interference classification and of engine measurements. */
 #include <gtest/gtest.h>
 
 #include "gsInterference.h"
 
 namespace {
 
-/** Engines that read 40 tokens a millisecond and send an event in 30 ms. */
-gsEnginePace Measured()
+/** Engines that process 40 prompt tokens per millisecond and send an event
+ * every 30 ms. */
+gsEngineTiming MakeMeasuredTiming()
 {
-  gsEnginePace pace;
-  pace.TokenMillis = 0.025;
-  pace.EventMillis = 30;
-  return pace;
+  gsEngineTiming timing;
+  timing.TokenMillis = 0.025;
+  timing.EventMillis = 30;
+  return timing;
 }
 
-gsPauseTargets Targets(double own, double tightest)
+gsStreamTargets MakeTargets(double own, double tightest)
 {
-  gsPauseTargets targets;
-  targets.OwnMillis = own;
-  targets.TightestMillis = tightest;
+  gsStreamTargets targets;
+  targets.MaxIntervalMillis = own;
+  targets.TightestIntervalMillis = tightest;
   return targets;
 }
 
 } // namespace
 
-TEST(Interference, APromptIsLongIfReadingItTakesMostOfTheTightestPause)
+TEST(Interference, ClassifiesPromptAsLongWhenItTakesMostOfTightestInterval)
 {
-  gsEnginePace pace = Measured();
-  gsPauseTargets targets = Targets(400, 250);
-  EXPECT_EQ(gsGroupByInterference(pace, targets, 1000, 1000),
+  gsEngineTiming timing = MakeMeasuredTiming();
+  gsStreamTargets targets = MakeTargets(400, 250);
+  EXPECT_EQ(gsGroupByInterference(timing, targets, 1000, 1000),
             gsFleetGroup::Any);
-  EXPECT_EQ(gsGroupByInterference(pace, targets, 7000, 7000),
+  EXPECT_EQ(gsGroupByInterference(timing, targets, 7000, 7000),
             gsFleetGroup::Long);
-  // The same prompt harms nobody where engines read ten times as fast,
-  pace.TokenMillis /= 10;
-  EXPECT_EQ(gsGroupByInterference(pace, targets, 7000, 7000),
+  // The same prompt does not interfere if engines are ten times as fast.
+  timing.TokenMillis /= 10;
+  EXPECT_EQ(gsGroupByInterference(timing, targets, 7000, 7000),
             gsFleetGroup::Any);
-  // nor where all streams bear it.
-  pace.TokenMillis *= 10;
-  targets = Targets(2000, 2000);
-  EXPECT_NE(gsGroupByInterference(pace, targets, 7000, 7000),
+  // It does not interfere either if all streams tolerate longer intervals.
+  timing.TokenMillis *= 10;
+  targets = MakeTargets(2000, 2000);
+  EXPECT_NE(gsGroupByInterference(timing, targets, 7000, 7000),
             gsFleetGroup::Long);
 }
 
-TEST(Interference, AVeryLongPromptOfTheTightestStreamsIsLongToo)
+TEST(Interference, ClassifiesVeryLongPromptOfTightestStreamAsLong)
 {
-  gsEnginePace pace = Measured();
-  gsPauseTargets targets = Targets(150, 150);
-  EXPECT_EQ(gsGroupByInterference(pace, targets, 1000, 1000),
+  gsEngineTiming timing = MakeMeasuredTiming();
+  gsStreamTargets targets = MakeTargets(150, 150);
+  EXPECT_EQ(gsGroupByInterference(timing, targets, 1000, 1000),
             gsFleetGroup::Tight);
-  EXPECT_EQ(gsGroupByInterference(pace, targets, 20000, 20000),
+  EXPECT_EQ(gsGroupByInterference(timing, targets, 20000, 20000),
             gsFleetGroup::Long);
 }
 
-TEST(Interference, WhichStreamsSufferFollowsFromThePromptsThatCome)
+TEST(Interference, ClassifiesStreamAsTightWhenLongPromptsExceedItsInterval)
 {
-  gsEnginePace pace = Measured();
-  gsPauseTargets middle = Targets(400, 250);
-  gsPauseTargets patient = Targets(4000, 250);
-  EXPECT_EQ(gsGroupByInterference(pace, middle, 500, 500), gsFleetGroup::Any);
+  gsEngineTiming timing = MakeMeasuredTiming();
+  gsStreamTargets middle = MakeTargets(400, 250);
+  gsStreamTargets relaxed = MakeTargets(4000, 250);
+  EXPECT_EQ(gsGroupByInterference(timing, middle, 500, 500),
+            gsFleetGroup::Any);
   for (int i = 0; i < 200; ++i) {
-    gsNoteInterference(pace, "review", patient, 12000); // 300 ms each.
+    gsClassifyRequest(timing, "review", relaxed, 12000); // 300 ms each.
   }
-  EXPECT_EQ(gsGroupByInterference(pace, middle, 500, 500),
+  EXPECT_EQ(gsGroupByInterference(timing, middle, 500, 500),
             gsFleetGroup::Tight);
-  EXPECT_EQ(gsGroupByInterference(pace, patient, 500, 500), gsFleetGroup::Any);
+  EXPECT_EQ(gsGroupByInterference(timing, relaxed, 500, 500),
+            gsFleetGroup::Any);
 }
 
-TEST(Interference, WithoutPauseTargetsNothingInterferes)
+TEST(Interference, ClassifiesAsAnyWithoutIntervalTargets)
 {
-  gsEnginePace pace = Measured();
-  EXPECT_EQ(gsGroupByInterference(pace, {}, 100000, 100000),
+  gsEngineTiming timing = MakeMeasuredTiming();
+  EXPECT_EQ(gsGroupByInterference(timing, {}, 100000, 100000),
             gsFleetGroup::Any);
 }
 
-TEST(Interference, AnEmptyHistoryStillTellsVeryLongFromShort)
+TEST(Interference, DistinguishesVeryLongFromShortPromptsWithoutHistory)
 {
-  gsEnginePace pace;
-  gsPauseTargets targets = Targets(150, 150);
-  EXPECT_EQ(gsGroupByInterference(pace, targets, 500, 500),
+  gsEngineTiming timing;
+  gsStreamTargets targets = MakeTargets(150, 150);
+  EXPECT_EQ(gsGroupByInterference(timing, targets, 500, 500),
             gsFleetGroup::Tight);
-  EXPECT_EQ(gsGroupByInterference(pace, targets, 40000, 40000),
+  EXPECT_EQ(gsGroupByInterference(timing, targets, 40000, 40000),
             gsFleetGroup::Long);
 }
 
-TEST(Interference, TheReadingPaceIsLearnedInSpiteOfWaits)
+TEST(Interference, EstimatesPromptTokenTimeDespiteQueuing)
 {
-  gsEnginePace pace;
+  gsEngineTiming timing;
   for (int i = 0; i < 2000; ++i) {
-    // 0.01 ms a token; two of three waited for up to as long again.
+    // 0.01 ms per token; two of three requests are queued for up to the same
+    // time.
     double wait = i % 3 == 0 ? 0 : 0.005 * (i % 3);
-    gsNoteReading(pace, 5000, gsFromSeconds(5 * (0.01 + wait)));
+    gsRecordPromptTime(timing, 5000, gsFromSeconds(5 * (0.01 + wait)));
   }
-  EXPECT_NEAR(pace.TokenMillis, 0.01, 0.002);
+  EXPECT_NEAR(timing.TokenMillis, 0.01, 0.002);
 }
 
-TEST(Interference, ShortPromptsSayNothingOfThePace)
+TEST(Interference, IgnoresShortPromptsInPromptTokenTime)
 {
-  gsEnginePace pace;
+  gsEngineTiming timing;
   for (int i = 0; i < 2000; ++i) {
-    gsNoteReading(pace, 100, gsMilliseconds(50));
+    gsRecordPromptTime(timing, 100, gsMilliseconds(50));
   }
-  EXPECT_DOUBLE_EQ(pace.TokenMillis, gsEnginePace().TokenMillis);
+  EXPECT_DOUBLE_EQ(timing.TokenMillis, gsEngineTiming().TokenMillis);
 }
 
-TEST(Interference, TheTimeOfAnEventIsThatWithoutPrompts)
+TEST(Interference, EstimatesEventIntervalWithoutPromptProcessing)
 {
-  gsEnginePace pace;
+  gsEngineTiming timing;
   for (int i = 0; i < 3000; ++i) {
-    gsNoteEvent(pace, gsMilliseconds(i % 2 == 0 ? 30 : 200));
+    gsRecordServiceEventInterval(timing,
+                                 gsMilliseconds(i % 2 == 0 ? 30 : 200));
   }
-  EXPECT_NEAR(pace.EventMillis, 30, 6);
+  EXPECT_NEAR(timing.EventMillis, 30, 6);
 }
 
-TEST(Interference, PromptsWhoseTargetLeavesNoRoomForOthersArePressed)
+TEST(Interference, DetectsUrgentLongPromptsWhenTargetAllowsNoQueuing)
 {
-  gsEnginePace pace = Measured();
-  EXPECT_FALSE(gsIsPressed(pace));
-  gsPauseTargets targets = Targets(400, 250);
-  targets.FirstMillis = 600;
-  gsNoteInterference(pace, "review", targets, 10000); // 250 ms to read.
-  EXPECT_TRUE(gsIsPressed(pace));
-  targets.FirstMillis = 4000;
+  gsEngineTiming timing = MakeMeasuredTiming();
+  EXPECT_FALSE(gsAreLongPromptsUrgent(timing));
+  gsStreamTargets targets = MakeTargets(400, 250);
+  targets.FirstEventMillis = 600;
+  gsClassifyRequest(timing, "review", targets,
+                    10000); // 250 ms of processing.
+  EXPECT_TRUE(gsAreLongPromptsUrgent(timing));
+  targets.FirstEventMillis = 4000;
   for (int i = 0; i < 200; ++i) {
-    gsNoteInterference(pace, "review", targets, 10000);
+    gsClassifyRequest(timing, "review", targets, 10000);
   }
-  EXPECT_FALSE(gsIsPressed(pace));
+  EXPECT_FALSE(gsAreLongPromptsUrgent(timing));
 }
 
-TEST(Interference, AllOfOneKindAreTakenAlike)
+TEST(Interference, ClassifiesRequestsOfRouteByMeanLength)
 {
-  gsEnginePace pace = Measured();
-  gsPauseTargets targets = Targets(400, 250);
+  gsEngineTiming timing = MakeMeasuredTiming();
+  gsStreamTargets targets = MakeTargets(400, 250);
   for (int i = 0; i < 200; ++i) {
-    gsNoteInterference(pace, "review", targets, 9000);
-    gsNoteInterference(pace, "tags", targets, 2400);
+    gsClassifyRequest(timing, "review", targets, 9000);
+    gsClassifyRequest(timing, "tags", targets, 2400);
   }
-  EXPECT_EQ(gsNoteInterference(pace, "review", targets, 2000),
+  EXPECT_EQ(gsClassifyRequest(timing, "review", targets, 2000),
             gsFleetGroup::Long);
-  EXPECT_NE(gsNoteInterference(pace, "tags", targets, 8000),
+  EXPECT_NE(gsClassifyRequest(timing, "tags", targets, 8000),
             gsFleetGroup::Long);
-  EXPECT_EQ(gsNoteInterference(pace, "tags", targets, 12000),
+  EXPECT_EQ(gsClassifyRequest(timing, "tags", targets, 12000),
             gsFleetGroup::Long);
 }
--- a/Tests/Unit/gsTestLease.cxx
+++ b/Tests/Unit/gsTestLease.cxx
@@ -1,10 +1,11 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * A lease over a store, in a simulated network: hosts that are killed, frozen,
- * cut off, slow and started again under their name, and a store that loses
- * answers, carries writes out late and turns hosts away. What counts is what
- * the platform received, as it has to be kept to where nobody checks tokens.
+ * Tests of the lease in a simulation: hosts are killed, frozen, partitioned
+ * and restarted under the same name, and their clocks run at
+ * different rates; the store loses replies, delays writes and refuses
+ * requests. The simulation checks the calls that the platform receives, since
+ * mutual exclusion has to hold there even though nobody verifies the tokens.
  */
 #include <algorithm>
 #include <map>
@@ -18,23 +19,26 @@
 namespace {
 
 constexpr gsTime Step = gsMilliseconds(10);
-constexpr gsTime Day = gsSeconds(40);
-/** Cuts, freezes and kills begin at random until then. */
-constexpr gsTime Calm = gsSeconds(28);
+/** Simulated duration of a run. */
+constexpr gsTime RunDuration = gsSeconds(40);
+/** Time after which no new faults are injected. */
+constexpr gsTime FaultsEndAt = gsSeconds(28);
 constexpr std::size_t Hosts = 5;
-/** A call is not waited for any longer. */
-constexpr gsTime CallPatience = gsMilliseconds(700);
+/** Timeout of a write to the store. */
+constexpr gsTime WriteTimeout = gsMilliseconds(700);
 
+/** A write on its way to the store. */
 struct PendingWrite
 {
   std::size_t Host = 0;
   std::uint64_t Incarnation = 0;
   std::uint64_t Expected = 0;
   gsTime ArrivesAt{};
-  bool LosesAnswer = false;
+  bool LosesReply = false;
 };
 
-struct PendingAnswer
+/** A reply on its way from the store. */
+struct PendingReply
 {
   std::size_t Host = 0;
   std::uint64_t Incarnation = 0;
@@ -43,34 +47,36 @@
   gsLeaseReply Reply;
 };
 
-/** A call on the duty, as the platform has received it. */
-struct Act
+/** A call of a lease holder that the platform has received. */
+struct PlatformCall
 {
-  std::string Machine;
+  std::string Host;
   std::uint64_t Token = 0;
   gsTime At{};
 };
 
+/** A simulated host. */
 struct SimHost
 {
   gsLease Lease;
-  bool Up = true;
-  gsTime UpAt{};
+  bool IsUp = true;
+  gsTime RestartAt{};
   gsTime FrozenUntil{};
-  gsTime CutUntil{};
-  double Rate = 1; ///< Of its steady clock against true time.
-  gsTime ActsNext{};
+  gsTime PartitionedUntil{};
+  double Rate = 1; ///< Rate of its steady clock relative to simulated time.
+  gsTime NextCallAt{};
 };
 
-class World
+/** Simulated hosts, store and platform. */
+class Simulation
 {
 public:
-  explicit World(std::uint64_t seed)
+  explicit Simulation(std::uint64_t seed)
     : Random(seed)
     , Nodes(Hosts)
   {
     for (std::size_t i = 0; i < Hosts; ++i) {
-      this->Boot(i);
+      this->StartHost(i);
       std::uniform_real_distribution<double> rate(0.999, 1.001);
       this->Nodes[i].Rate = rate(this->Random);
     }
@@ -78,80 +84,82 @@
 
   void Run()
   {
-    for (this->Now = gsTime{}; this->Now < Day; this->Now += Step) {
-      this->Trouble();
+    for (this->Now = gsTime{}; this->Now < RunDuration; this->Now += Step) {
+      this->InjectFaults();
       this->DeliverWrites();
-      this->DeliverAnswers();
+      this->DeliverReplies();
       for (std::size_t i = 0; i < Hosts; ++i) {
-        this->Turn(i);
+        this->StepHost(i);
       }
     }
   }
 
-  std::vector<Act> Acts;
+  std::vector<PlatformCall> PlatformCalls;
   std::uint64_t Version = 100;
 
 private:
-  bool Chance(double each)
+  bool Chance(double probability)
   {
-    return std::uniform_real_distribution<double>(0, 1)(this->Random) < each;
+    return std::uniform_real_distribution<double>(0, 1)(this->Random) <
+           probability;
   }
-  gsTime Draw(double least, double most)
+  gsTime Draw(double minimum, double maximum)
   {
     return gsFromSeconds(
-      std::uniform_real_distribution<double>(least, most)(this->Random));
+      std::uniform_real_distribution<double>(minimum, maximum)(this->Random));
   }
   static std::string Name(std::size_t i) { return "h" + std::to_string(i); }
 
-  /** The host's own steady clock. */
+  /** The current time of a host's steady clock. */
   gsTime Clock(SimHost const& host) const
   {
     return gsFromSeconds(1000 + gsToSeconds(this->Now) * host.Rate);
   }
 
-  void Boot(std::size_t i)
+  void StartHost(std::size_t i)
   {
     SimHost& host = this->Nodes[i];
     host.Lease = gsLease{};
     host.Lease.Self = Name(i);
     host.Lease.Incarnation = ++this->Incarnations;
-    host.Lease.Started = this->Clock(host);
-    host.Up = true;
+    host.Lease.StartedAt = this->Clock(host);
+    host.IsUp = true;
   }
 
-  bool Runs(SimHost const& host) const
+  bool IsRunning(SimHost const& host) const
   {
-    return host.Up && this->Now >= host.FrozenUntil;
+    return host.IsUp && this->Now >= host.FrozenUntil;
   }
 
-  void Trouble()
+  void InjectFaults()
   {
-    constexpr double each = 0.01 / 4; // Four of a kind in ten seconds.
-    if (this->Now > Calm) {
+    // Nominally four faults of each kind in ten seconds.
+    constexpr double probability = 0.01 / 4;
+    if (this->Now > FaultsEndAt) {
       return;
     }
     for (std::size_t i = 0; i < Hosts; ++i) {
       SimHost& host = this->Nodes[i];
-      bool holds = gsLeaseHolds(host.Lease, this->Clock(host));
-      double likely = holds ? 4 * each : each;
-      if (!host.Up || !this->Chance(likely / 4)) {
+      bool isHolder = gsLeaseIsHeld(host.Lease, this->Clock(host));
+      double hostProbability = isHolder ? 4 * probability : probability;
+      if (!host.IsUp || !this->Chance(hostProbability / 4)) {
         continue;
       }
       switch (this->Random() % 3) {
         case 0:
-          host.Up = false;
-          host.UpAt = this->Now + this->Draw(0.2, 5);
+          host.IsUp = false;
+          host.RestartAt = this->Now + this->Draw(0.2, 5);
           break;
         case 1:
           host.FrozenUntil = this->Now + this->Draw(0.2, 6);
           break;
         default:
-          host.CutUntil = this->Now + this->Draw(0.2, 6);
+          host.PartitionedUntil = this->Now + this->Draw(0.2, 6);
           break;
       }
     }
-    if (this->Chance(each / 8)) {
-      this->DarkUntil = this->Now + this->Draw(0.5, 6);
+    if (this->Chance(probability / 8)) {
+      this->StoreDownUntil = this->Now + this->Draw(0.5, 6);
     }
   }
 
@@ -164,190 +172,196 @@
       }
       PendingWrite write = this->Writes[i];
       this->Writes.erase(this->Writes.begin() + static_cast<long>(i));
-      this->CarryOut(write);
+      this->ApplyWrite(write);
     }
   }
 
-  void CarryOut(PendingWrite const& write)
+  void ApplyWrite(PendingWrite const& write)
   {
-    PendingAnswer answer{ write.Host, write.Incarnation, {}, {}, {} };
+    PendingReply reply{ write.Host, write.Incarnation, {}, {}, {} };
     if (write.Expected == this->Row.Version) {
       this->Version += 1 + this->Random() % 3;
       this->Row = { this->Version, Name(write.Host), write.Incarnation };
-      answer.Reply.Is = gsLeaseReply::Kind::Written;
-      answer.Reply.Version = this->Version;
+      reply.Reply.Result = gsLeaseReply::Kind::Written;
+      reply.Reply.Version = this->Version;
     } else {
-      answer.Reply.Is = gsLeaseReply::Kind::Conflict;
-      answer.Reply.Row = this->Row;
+      reply.Reply.Result = gsLeaseReply::Kind::Conflict;
+      reply.Reply.Row = this->Row;
     }
-    answer.ArrivesAt = this->Now + this->Draw(0.001, 0.05);
-    bool cut = this->Now < this->Nodes[write.Host].CutUntil;
-    if (!write.LosesAnswer && !cut) {
-      this->Answers.push_back(answer);
+    reply.ArrivesAt = this->Now + this->Draw(0.001, 0.05);
+    bool isPartitioned = this->Now < this->Nodes[write.Host].PartitionedUntil;
+    if (!write.LosesReply && !isPartitioned) {
+      this->Replies.push_back(reply);
     }
   }
 
-  void DeliverAnswers()
+  void DeliverReplies()
   {
-    for (std::size_t i = 0; i < this->Answers.size();) {
-      PendingAnswer answer = this->Answers[i];
-      SimHost& host = this->Nodes[answer.Host];
-      bool same = host.Lease.Incarnation == answer.Incarnation;
-      if (answer.ArrivesAt > this->Now ||
-          (same && host.Up && !this->Runs(host))) {
+    for (std::size_t i = 0; i < this->Replies.size();) {
+      PendingReply reply = this->Replies[i];
+      SimHost& host = this->Nodes[reply.Host];
+      bool isSameProcess = host.Lease.Incarnation == reply.Incarnation;
+      if (reply.ArrivesAt > this->Now ||
+          (isSameProcess && host.IsUp && !this->IsRunning(host))) {
         ++i;
         continue;
       }
-      this->Answers.erase(this->Answers.begin() + static_cast<long>(i));
-      if (same && host.Up && host.Lease.Calling) {
-        gsLeaseAnswer(host.Lease, answer.Reply, this->Clock(host));
+      this->Replies.erase(this->Replies.begin() + static_cast<long>(i));
+      if (isSameProcess && host.IsUp && host.Lease.IsWritePending) {
+        gsLeaseReceiveReply(host.Lease, reply.Reply, this->Clock(host));
       }
     }
   }
 
-  void Turn(std::size_t i)
+  void StepHost(std::size_t i)
   {
     SimHost& host = this->Nodes[i];
-    if (!host.Up && this->Now >= host.UpAt) {
-      this->Boot(i);
+    if (!host.IsUp && this->Now >= host.RestartAt) {
+      this->StartHost(i);
     }
-    if (!this->Runs(host)) {
+    if (!this->IsRunning(host)) {
       return;
     }
     gsTime clock = this->Clock(host);
-    if (host.Lease.Calling && clock - host.Lease.SentAt > CallPatience) {
-      gsLeaseAnswer(host.Lease, {}, clock);
+    if (host.Lease.IsWritePending &&
+        clock - host.Lease.WriteSentAt > WriteTimeout) {
+      gsLeaseReceiveReply(host.Lease, {}, clock);
     }
     if (std::optional<gsLeaseWrite> write =
           gsLeaseTick(host.Lease, true, i, clock)) {
       this->Send(i, *write);
     }
-    this->Tell(i, clock);
-    this->DoDuty(i, clock);
+    this->SendUpdate(i, clock);
+    this->PerformDuty(i, clock);
   }
 
   void Send(std::size_t i, gsLeaseWrite const& write)
   {
     SimHost& host = this->Nodes[i];
-    if (this->Now < host.CutUntil) {
+    if (this->Now < host.PartitionedUntil) {
       return;
     }
-    if (this->Now < this->DarkUntil) {
+    if (this->Now < this->StoreDownUntil) {
       if (this->Chance(0.5)) {
         gsLeaseReply refused;
-        refused.Is = gsLeaseReply::Kind::Refused;
-        gsLeaseAnswer(host.Lease, refused, this->Clock(host));
+        refused.Result = gsLeaseReply::Kind::Refused;
+        gsLeaseReceiveReply(host.Lease, refused, this->Clock(host));
       }
       return;
     }
-    PendingWrite pending{ i, host.Lease.Incarnation, write.Expected,
+    PendingWrite pending{ i, host.Lease.Incarnation, write.ExpectedVersion,
                           this->Now + this->Draw(0.001, 0.05), false };
     if (this->Chance(0.08)) {
-      pending.LosesAnswer = true;
+      pending.LosesReply = true;
     } else if (this->Chance(0.04)) {
-      pending.LosesAnswer = true;
+      pending.LosesReply = true;
       pending.ArrivesAt = this->Now + this->Draw(2, 12);
     }
     this->Writes.push_back(pending);
   }
 
-  /** Hosts that are not cut off tell one another now and then. */
-  void Tell(std::size_t i, gsTime clock)
+  /** Sends the known row to a random host with a probability of 2%, unless
+   * either is partitioned. */
+  void SendUpdate(std::size_t i, gsTime clock)
   {
     SimHost& host = this->Nodes[i];
-    std::optional<gsLeaseNews> news = gsLeaseTell(host.Lease, clock);
+    std::optional<gsLeaseUpdate> update =
+      gsLeaseCurrentUpdate(host.Lease, clock);
     std::size_t to = this->Random() % Hosts;
     SimHost& other = this->Nodes[to];
-    bool may = news && to != i && this->Now >= host.CutUntil &&
-               this->Now >= other.CutUntil && this->Runs(other) &&
-               this->Chance(0.02);
-    if (may) {
-      gsLeaseHear(other.Lease, *news, this->Clock(other));
+    bool isAllowed = update && to != i && this->Now >= host.PartitionedUntil &&
+                     this->Now >= other.PartitionedUntil &&
+                     this->IsRunning(other) && this->Chance(0.02);
+    if (isAllowed) {
+      gsLeaseReceiveUpdate(other.Lease, *update, this->Clock(other));
     }
   }
 
-  void DoDuty(std::size_t i, gsTime clock)
+  void PerformDuty(std::size_t i, gsTime clock)
   {
     SimHost& host = this->Nodes[i];
-    bool may = gsLeaseHolds(host.Lease, clock) && clock >= host.ActsNext &&
-               this->Now >= host.CutUntil;
-    if (may) {
-      host.ActsNext = clock + this->Draw(0.02, 0.4);
-      this->Acts.push_back({ Name(i), host.Lease.Token, this->Now });
+    bool isAllowed = gsLeaseIsHeld(host.Lease, clock) &&
+                     clock >= host.NextCallAt &&
+                     this->Now >= host.PartitionedUntil;
+    if (isAllowed) {
+      host.NextCallAt = clock + this->Draw(0.02, 0.4);
+      this->PlatformCalls.push_back({ Name(i), host.Lease.Token, this->Now });
     }
   }
 
   std::mt19937_64 Random;
   std::vector<SimHost> Nodes;
   std::vector<PendingWrite> Writes;
-  std::vector<PendingAnswer> Answers;
+  std::vector<PendingReply> Replies;
   gsLeaseRow Row;
   gsTime Now{};
-  gsTime DarkUntil{};
+  gsTime StoreDownUntil{};
   std::uint64_t Incarnations = 0;
 };
 
-/** What breaks a promise; empty if nothing does. */
-std::string Broken(std::vector<Act> const& acts, gsTime leaseTime)
+/** Description of the first violated invariant; empty if there is none. */
+std::string FindViolation(std::vector<PlatformCall> const& calls,
+                          gsTime leaseTime)
 {
   std::map<std::uint64_t, std::string> senders;
   std::uint64_t highest = 0;
   std::map<std::string, gsTime> last;
-  std::string before;
-  gsTime beforeSince{};
-  for (Act const& act : acts) {
-    auto sender = senders.emplace(act.Token, act.Machine).first;
-    if (sender->second != act.Machine) {
+  std::string previous;
+  gsTime previousSince{};
+  for (PlatformCall const& call : calls) {
+    auto sender = senders.emplace(call.Token, call.Host).first;
+    if (sender->second != call.Host) {
       return "one token of two holders";
     }
-    if (act.Token < highest) {
+    if (call.Token < highest) {
       return "a lower token";
     }
-    highest = act.Token;
-    bool changed = !before.empty() && before != act.Machine;
-    auto earlier = last.find(act.Machine);
+    highest = call.Token;
+    bool changed = !previous.empty() && previous != call.Host;
+    auto earlier = last.find(call.Host);
     if (changed && earlier != last.end() &&
-        act.At - earlier->second < leaseTime) {
+        call.At - earlier->second < leaseTime) {
       return "A, B, A within the lease's time";
     }
-    before = act.Machine;
-    last[act.Machine] = act.At;
+    previous = call.Host;
+    last[call.Host] = call.At;
   }
   return {};
 }
 
 } // namespace
 
-TEST(Lease, OneHostActsAtATimeWhateverFails)
+TEST(Lease, OnlyOneHostActsAtATimeUnderFaults)
 {
   constexpr std::uint64_t runs = 1000;
-  std::size_t least = 1U << 30U;
+  std::size_t minimum = 1U << 30U;
   for (std::uint64_t seed = 1; seed <= runs; ++seed) {
-    World world(seed);
-    world.Run();
-    EXPECT_EQ(Broken(world.Acts, gsLeaseSettings().Time), "")
+    Simulation simulation(seed);
+    simulation.Run();
+    EXPECT_EQ(
+      FindViolation(simulation.PlatformCalls, gsLeaseSettings().Duration), "")
       << "seed " << seed;
-    least = std::min(least, world.Acts.size());
+    minimum = std::min(minimum, simulation.PlatformCalls.size());
   }
-  // In the calm seconds at the end at least somebody does the duty.
-  EXPECT_GT(least, 20U);
+  // In the final seconds without new faults some host performs the duty.
+  EXPECT_GT(minimum, 20U);
 }
 
 namespace {
 
-gsLease Fresh(std::string const& name, std::uint64_t incarnation)
+gsLease NewLease(std::string const& name, std::uint64_t incarnation)
 {
   gsLease lease;
   lease.Self = name;
   lease.Incarnation = incarnation;
-  lease.Started = gsSeconds(1);
+  lease.StartedAt = gsSeconds(1);
   return lease;
 }
 
 gsLeaseReply Written(std::uint64_t version)
 {
   gsLeaseReply reply;
-  reply.Is = gsLeaseReply::Kind::Written;
+  reply.Result = gsLeaseReply::Kind::Written;
   reply.Version = version;
   return reply;
 }
@@ -355,81 +369,83 @@
 gsLeaseReply Conflict(gsLeaseRow const& row)
 {
   gsLeaseReply reply;
-  reply.Is = gsLeaseReply::Kind::Conflict;
+  reply.Result = gsLeaseReply::Kind::Conflict;
   reply.Row = row;
   return reply;
 }
 
 } // namespace
 
-TEST(Lease, TheTimeCountsFromBeforeTheWriteWasSent)
+TEST(Lease, DurationStartsBeforeWriteIsSent)
 {
-  gsLease lease = Fresh("a", 1);
-  gsTime sent = gsSeconds(2);
-  ASSERT_TRUE(gsLeaseTick(lease, true, 0, sent));
-  gsTime answered = sent + gsMilliseconds(600);
-  EXPECT_TRUE(gsLeaseAnswer(lease, Written(7), answered));
+  gsLease lease = NewLease("a", 1);
+  gsTime sentAt = gsSeconds(2);
+  ASSERT_TRUE(gsLeaseTick(lease, true, 0, sentAt));
+  gsTime repliedAt = sentAt + gsMilliseconds(600);
+  EXPECT_TRUE(gsLeaseReceiveReply(lease, Written(7), repliedAt));
   EXPECT_EQ(lease.Token, 7U);
-  EXPECT_TRUE(gsLeaseHolds(lease, sent + gsMilliseconds(2999)));
-  EXPECT_FALSE(gsLeaseHolds(lease, sent + gsMilliseconds(3000)));
+  EXPECT_TRUE(gsLeaseIsHeld(lease, sentAt + gsMilliseconds(2999)));
+  EXPECT_FALSE(gsLeaseIsHeld(lease, sentAt + gsMilliseconds(3000)));
 }
 
-TEST(Lease, AnAnswerAfterTheTimeAllowsNothing)
+TEST(Lease, ReplyAfterExpiryDoesNotGrantLease)
 {
-  gsLease lease = Fresh("a", 1);
+  gsLease lease = NewLease("a", 1);
   ASSERT_TRUE(gsLeaseTick(lease, true, 0, gsSeconds(2)));
-  EXPECT_FALSE(gsLeaseAnswer(lease, Written(7), gsSeconds(6)));
-  EXPECT_FALSE(gsLeaseHolds(lease, gsSeconds(6)));
+  EXPECT_FALSE(gsLeaseReceiveReply(lease, Written(7), gsSeconds(6)));
+  EXPECT_FALSE(gsLeaseIsHeld(lease, gsSeconds(6)));
 }
 
-TEST(Lease, AHigherTokenElsewhereEndsTheBeliefAtOnce)
+TEST(Lease, LeaseEndsWhenHigherTokenIsSeen)
 {
-  gsLease lease = Fresh("a", 1);
+  gsLease lease = NewLease("a", 1);
   ASSERT_TRUE(gsLeaseTick(lease, true, 0, gsSeconds(2)));
-  gsLeaseAnswer(lease, Written(7), gsSeconds(2));
-  gsLeaseHear(lease, { { 9, "b", 3 }, {} }, gsSeconds(3));
-  EXPECT_FALSE(gsLeaseHolds(lease, gsSeconds(3)));
-  gsLease refused = Fresh("a", 1);
+  gsLeaseReceiveReply(lease, Written(7), gsSeconds(2));
+  gsLeaseReceiveUpdate(lease, { { 9, "b", 3 }, {} }, gsSeconds(3));
+  EXPECT_FALSE(gsLeaseIsHeld(lease, gsSeconds(3)));
+  gsLease refused = NewLease("a", 1);
   ASSERT_TRUE(gsLeaseTick(refused, true, 0, gsSeconds(2)));
-  gsLeaseAnswer(refused, Written(7), gsSeconds(2));
-  gsLeaseLose(refused, gsSeconds(3));
-  EXPECT_FALSE(gsLeaseHolds(refused, gsSeconds(3)));
+  gsLeaseReceiveReply(refused, Written(7), gsSeconds(2));
+  gsLeaseRevoke(refused, gsSeconds(3));
+  EXPECT_FALSE(gsLeaseIsHeld(refused, gsSeconds(3)));
 }
 
-TEST(Lease, ASuccessorWaitsTheTimeAndAMarginFromItsOwnSight)
+TEST(Lease, SuccessorWaitsForDurationAndMarginSinceRowWasSeen)
 {
-  gsLease lease = Fresh("b", 2);
+  gsLease lease = NewLease("b", 2);
   ASSERT_TRUE(gsLeaseTick(lease, true, 0, gsSeconds(2)));
-  gsLeaseAnswer(lease, Conflict({ 7, "a", 1 }), gsSeconds(2));
-  gsTime free = gsSeconds(2) + lease.Settings.Time + lease.Settings.Margin;
-  EXPECT_FALSE(gsLeaseTick(lease, true, 0, free - gsMilliseconds(1)));
-  EXPECT_FALSE(gsLeaseTick(lease, true, 1, free));
-  std::optional<gsLeaseWrite> write = gsLeaseTick(lease, true, 0, free);
+  gsLeaseReceiveReply(lease, Conflict({ 7, "a", 1 }), gsSeconds(2));
+  gsTime acquirableAt =
+    gsSeconds(2) + lease.Settings.Duration + lease.Settings.SafetyMargin;
+  EXPECT_FALSE(gsLeaseTick(lease, true, 0, acquirableAt - gsMilliseconds(1)));
+  EXPECT_FALSE(gsLeaseTick(lease, true, 1, acquirableAt));
+  std::optional<gsLeaseWrite> write =
+    gsLeaseTick(lease, true, 0, acquirableAt);
   ASSERT_TRUE(write);
-  EXPECT_EQ(write->Expected, 7U);
+  EXPECT_EQ(write->ExpectedVersion, 7U);
 }
 
-TEST(Lease, AWriteThatWasCarriedOutLateIsRenewedFirst)
+TEST(Lease, LateWriteIsRenewedBeforeLeaseIsHeld)
 {
-  gsLease lease = Fresh("a", 1);
+  gsLease lease = NewLease("a", 1);
   ASSERT_TRUE(gsLeaseTick(lease, true, 0, gsSeconds(2)));
-  gsLeaseAnswer(lease, Written(7), gsSeconds(2));
+  gsLeaseReceiveReply(lease, Written(7), gsSeconds(2));
   ASSERT_TRUE(gsLeaseTick(lease, true, 0, gsSeconds(4)));
-  gsLeaseAnswer(lease, {}, gsMilliseconds(4700));
+  gsLeaseReceiveReply(lease, {}, gsMilliseconds(4700));
   ASSERT_TRUE(gsLeaseTick(lease, true, 0, gsMilliseconds(5100)));
-  gsLeaseAnswer(lease, Conflict({ 9, "a", 1 }), gsMilliseconds(5110));
-  EXPECT_FALSE(gsLeaseHolds(lease, gsMilliseconds(5110)));
+  gsLeaseReceiveReply(lease, Conflict({ 9, "a", 1 }), gsMilliseconds(5110));
+  EXPECT_FALSE(gsLeaseIsHeld(lease, gsMilliseconds(5110)));
   std::optional<gsLeaseWrite> write =
     gsLeaseTick(lease, true, 0, gsMilliseconds(5120));
   ASSERT_TRUE(write);
-  EXPECT_EQ(write->Expected, 9U);
-  EXPECT_TRUE(gsLeaseAnswer(lease, Written(11), gsMilliseconds(5130)));
+  EXPECT_EQ(write->ExpectedVersion, 9U);
+  EXPECT_TRUE(gsLeaseReceiveReply(lease, Written(11), gsMilliseconds(5130)));
 }
 
-TEST(Lease, WhatAnEarlierProcessOfTheSameNameHeldIsWaitedOut)
+TEST(Lease, LeaseOfEarlierIncarnationMustExpire)
 {
-  gsLease lease = Fresh("a", 2);
+  gsLease lease = NewLease("a", 2);
   ASSERT_TRUE(gsLeaseTick(lease, true, 0, gsSeconds(2)));
-  gsLeaseAnswer(lease, Conflict({ 7, "a", 1 }), gsSeconds(2));
+  gsLeaseReceiveReply(lease, Conflict({ 7, "a", 1 }), gsSeconds(2));
   EXPECT_FALSE(gsLeaseTick(lease, true, 0, gsSeconds(4)));
 }
--- a/Tests/Unit/gsTestLoadExchange.cxx
+++ b/Tests/Unit/gsTestLoadExchange.cxx
@@ -1,5 +1,5 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
-/** \file Hosts that tell each other their open work. */
+/** \file Exchange of open work between hosts. */
 #include <map>
 #include <set>
 #include <string>
@@ -11,8 +11,9 @@
 
 namespace {
 
-/** Hosts whose reports arrive at once, unless they are down. */
-struct Net
+/** Hosts whose reports are delivered at once. Hosts in Down neither send nor
+ * receive. */
+struct Network
 {
   std::map<std::string, gsLoadExchange> Hosts;
   std::map<std::string, gsSystemLoad> Own;
@@ -46,13 +47,13 @@
     for (auto const& [host, exchange] : this->Hosts) {
       bool isOwn = exchange.Hall == hall;
       if (isOwn && host != self && this->Down.count(host) == 0) {
-        peers.Hall.push_back(host);
+        peers.HallHosts.push_back(host);
       }
       if (!isOwn) {
         otherHalls.insert(exchange.Hall);
       }
     }
-    peers.HallSize = peers.Hall.size() + 1;
+    peers.HallSize = peers.HallHosts.size() + 1;
     for (std::string const& other : otherHalls) {
       peers.OtherRelays.push_back(this->RelayOf(other));
     }
@@ -69,22 +70,24 @@
            gsLoadTick(exchange, this->PeersOf(host), this->Own[host], now)) {
         ++this->Messages;
         if (this->Down.count(message.To) == 0) {
-          gsLoadHear(this->Hosts[message.To], host, exchange.Hall,
-                     message.Report, now);
+          gsApplyLoadReport(this->Hosts[message.To], host, exchange.Hall,
+                            message.Report, now);
         }
       }
     }
   }
 
-  std::uint32_t Seen(std::string const& host, gsTime now)
+  /** Running requests of all other hosts at one upstream, as known to a
+   * host. */
+  std::uint32_t RunningOfOthers(std::string const& host, gsTime now)
   {
     return gsLoadOfOthers(this->Hosts[host], now).Upstreams[7].Running;
   }
 };
 
-Net ThreeHalls(int hostsEach)
+Network ThreeHalls(int hostsEach)
 {
-  Net net;
+  Network net;
   for (char const* hall : { "a", "b", "c" }) {
     for (int i = 0; i < hostsEach; ++i) {
       net.Add(std::string(hall) + std::to_string(i), hall);
@@ -97,9 +100,9 @@
 
 } // namespace
 
-TEST(LoadExchange, EveryHostLearnsTheWorkOfAllOthers)
+TEST(LoadExchange, EveryHostReceivesTheWorkOfAllOthers)
 {
-  Net net = ThreeHalls(4);
+  Network net = ThreeHalls(4);
   std::uint32_t total = 0;
   std::uint32_t next = 1;
   for (auto& [host, exchange] : net.Hosts) {
@@ -111,14 +114,15 @@
     net.Tick(now += Period);
   }
   for (auto const& [host, own] : net.Own) {
-    EXPECT_EQ(net.Seen(host, now), total - own.Upstreams.at(7).Running)
+    EXPECT_EQ(net.RunningOfOthers(host, now),
+              total - own.Upstreams.at(7).Running)
       << host;
   }
 }
 
-TEST(LoadExchange, ARelaysSuccessorTakesOver)
+TEST(LoadExchange, NewRelayTakesOverWhenRelayFails)
 {
-  Net net = ThreeHalls(3);
+  Network net = ThreeHalls(3);
   for (auto& [host, exchange] : net.Hosts) {
     net.Own[host].Upstreams[7] = { 1, 0, 0 };
   }
@@ -128,61 +132,61 @@
   }
   std::string relay = net.RelayOf("a");
   net.Down.insert(relay);
-  // What the dead relay had open is counted no longer than a report lives.
+  // The work of the failed relay is counted until its reports expire.
   for (int i = 0; i < 70; ++i) {
     net.Tick(now += Period);
   }
   for (auto const& [host, exchange] : net.Hosts) {
     if (host != relay) {
-      EXPECT_EQ(net.Seen(host, now), 7U) << host;
+      EXPECT_EQ(net.RunningOfOthers(host, now), 7U) << host;
     }
   }
 }
 
-TEST(LoadExchange, WhatIsOldIsNotBelieved)
+TEST(LoadExchange, ExpiredReportsAreNotCounted)
 {
-  Net net = ThreeHalls(2);
+  Network net = ThreeHalls(2);
   net.Own["a0"].Upstreams[7] = { 5, 0, 0 };
   net.Own["a1"].Upstreams[7] = { 5, 0, 0 };
   gsTime now = gsSeconds(10);
   for (int i = 0; i < 4; ++i) {
     net.Tick(now += Period);
   }
-  EXPECT_EQ(net.Seen("b0", now), 10U);
-  EXPECT_EQ(net.Seen("b0", now + gsSeconds(10)), 0U);
+  EXPECT_EQ(net.RunningOfOthers("b0", now), 10U);
+  EXPECT_EQ(net.RunningOfOthers("b0", now + gsSeconds(10)), 0U);
 }
 
-TEST(LoadExchange, AWordsAgeIsKeptOnItsWay)
+TEST(LoadExchange, AgeOfHostReportsIsKeptByRelays)
 {
-  Net net = ThreeHalls(3);
+  Network net = ThreeHalls(3);
   gsTime now = gsSeconds(10);
   for (int i = 0; i < 40; ++i) {
     net.Tick(now += Period);
   }
-  // One host falls silent; the relays repeat what it has said last.
+  // One host fails; the relays repeat its last report.
   net.Down.insert("a2");
-  gsTime said = net.Hosts["a0"].Heard["a2"].At;
+  gsTime lastReportAt = net.Hosts["a0"].Received["a2"].ReceivedAt;
   for (int i = 0; i < 20; ++i) {
     net.Tick(now += Period);
   }
   for (char const* host : { "a0", "a1", "b0", "b2" }) {
-    std::optional<gsTime> since = gsLoadSince(net.Hosts[host], now);
+    std::optional<gsTime> since = gsOldestHostReportAt(net.Hosts[host], now);
     ASSERT_TRUE(since) << host;
-    EXPECT_LE(gsToSeconds(*since), gsToSeconds(said)) << host;
+    EXPECT_LE(gsToSeconds(*since), gsToSeconds(lastReportAt)) << host;
   }
-  // Once nobody counts it any more, all words are young again.
+  // Once that report has expired everywhere, the remaining ones are recent.
   for (int i = 0; i < 60; ++i) {
     net.Tick(now += Period);
   }
   constexpr double hops = 3;
   for (char const* host : { "a0", "a1", "b0", "b2" }) {
-    std::optional<gsTime> since = gsLoadSince(net.Hosts[host], now);
+    std::optional<gsTime> since = gsOldestHostReportAt(net.Hosts[host], now);
     ASSERT_TRUE(since) << host;
     EXPECT_LE(gsToSeconds(now - *since), hops * 1.1) << host;
   }
 }
 
-TEST(LoadExchange, ASumThatRestsOnTooOldAWordIsNotBelieved)
+TEST(LoadExchange, SumExpiresWhenOldestHostReportExceedsMaxAge)
 {
   gsLoadExchange exchange;
   exchange.Self = "b1";
@@ -191,16 +195,16 @@
   gsLoadReport report;
   report.Scope = gsLoadScope::Others;
   report.Load.Upstreams[7] = { 5, 0, 0 };
-  report.Age = exchange.Settings.MostAge - gsSeconds(1);
-  gsLoadHear(exchange, "b0", "b", report, now);
+  report.Age = exchange.Settings.MaxHostReportAge - gsSeconds(1);
+  gsApplyLoadReport(exchange, "b0", "b", report, now);
   EXPECT_EQ(gsLoadOfOthers(exchange, now).Upstreams[7].Running, 5U);
-  EXPECT_EQ(*gsLoadSince(exchange, now), now - report.Age);
+  EXPECT_EQ(*gsOldestHostReportAt(exchange, now), now - report.Age);
   now += gsMilliseconds(1100);
   EXPECT_EQ(gsLoadOfOthers(exchange, now).Upstreams.size(), 0U);
-  EXPECT_FALSE(gsLoadSince(exchange, now));
+  EXPECT_FALSE(gsOldestHostReportAt(exchange, now));
 }
 
-TEST(LoadExchange, AnAgeGoesOverTheWireAndOldNeighboursTellNone)
+TEST(LoadExchange, AgeIsEncodedAndZeroWhenSentByOlderRelease)
 {
   gsLoadReport report;
   report.Age = gsMilliseconds(1234);
@@ -211,26 +215,27 @@
   EXPECT_EQ(gsFromWire(wire).Age, gsTime{});
 }
 
-TEST(LoadExchange, WhereNothingWasHeardThereIsNoAge)
+TEST(LoadExchange, OldestHostReportTimeIsEmptyWithoutReports)
 {
   gsLoadExchange exchange;
-  EXPECT_FALSE(gsLoadSince(exchange, gsSeconds(20)));
+  EXPECT_FALSE(gsOldestHostReportAt(exchange, gsSeconds(20)));
 }
 
-TEST(LoadExchange, IdleHostsSayLittle)
+TEST(LoadExchange, IdleHostsSendOneReportPerRefreshInterval)
 {
-  Net net = ThreeHalls(10);
+  Network net = ThreeHalls(10);
   gsTime now = gsSeconds(10);
   for (int i = 0; i < 200; ++i) { // Ten seconds.
     net.Tick(now += Period);
   }
-  // One report a second to the relay, one from it, and between relays.
+  // Per second, one report from each of 27 hosts to its relay, one back, and
+  // six between the relays.
   EXPECT_LE(net.Messages, 11U * (2 * 27 + 6));
 }
 
-TEST(LoadExchange, TheNewestWordOfOneThatDecidesReachesAll)
+TEST(LoadExchange, NewestArrangementReachesAllHosts)
 {
-  Net net;
+  Network net;
   for (char const* hall : { "north", "south", "west" }) {
     for (int i = 0; i < 4; ++i) {
       net.Add(std::string(hall) + std::to_string(i), hall);
@@ -246,36 +251,37 @@
     }
     for (auto const& [host, exchange] : net.Hosts) {
       gsSystemLoad others = gsLoadOfOthers(exchange, now);
-      bool heard = others.Arrangements[9].Version == version;
-      EXPECT_TRUE(heard || host == decider) << host;
+      bool received = others.Arrangements[9].Version == version;
+      EXPECT_TRUE(received || host == decider) << host;
     }
   }
 }
 
-TEST(LoadExchange, AHallThatOneHostCannotReachIsToldInItsOwnHallAlone)
+TEST(LoadExchange, UnreachableHallIsReportedOnlyWithinTheOwnHall)
 {
-  Net net = ThreeHalls(4);
-  net.Own["a1"].CutOffHalls = { 77 };
+  Network net = ThreeHalls(4);
+  net.Own["a1"].UnreachableHalls = { 77 };
   gsTime now = gsSeconds(10);
   for (int i = 0; i < 4; ++i) {
     net.Tick(now += Period);
   }
   for (auto const& [host, exchange] : net.Hosts) {
-    bool knows = gsLoadOfOthers(exchange, now).CutOffHalls.count(77) != 0;
-    EXPECT_EQ(knows, exchange.Hall == "a" && host != "a1") << host;
+    bool received =
+      gsLoadOfOthers(exchange, now).UnreachableHalls.count(77) != 0;
+    EXPECT_EQ(received, exchange.Hall == "a" && host != "a1") << host;
   }
-  net.Own["a1"].CutOffHalls.clear();
+  net.Own["a1"].UnreachableHalls.clear();
   for (int i = 0; i < 4; ++i) {
     net.Tick(now += Period);
   }
-  EXPECT_TRUE(gsLoadOfOthers(net.Hosts["a2"], now).CutOffHalls.empty());
+  EXPECT_TRUE(gsLoadOfOthers(net.Hosts["a2"], now).UnreachableHalls.empty());
 }
 
-TEST(LoadExchange, ARelaySendsNoMoreInALargerHall)
+TEST(LoadExchange, RelaySendRateIsIndependentOfHallSize)
 {
   std::vector<std::size_t> messages;
   for (int size : { 20, 57 }) {
-    Net net;
+    Network net;
     for (int i = 0; i < size; ++i) {
       net.Add("host" + std::to_string(i), "north");
     }
--- a/Tests/Unit/gsTestLog.cxx
+++ b/Tests/Unit/gsTestLog.cxx
@@ -1,5 +1,5 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
-/** \file Log lines, when nobody reads them. */
+/** \file Tests the log when its output is not read, and its rate limit. */
 #include <string>
 
 #include <fcntl.h>
@@ -11,24 +11,24 @@
 
 namespace {
 
-/** Standard output is a pipe that this object reads only when asked. */
+/** Redirects standard output to a pipe that is read only by Read. */
 class UnreadOutput
 {
 public:
   UnreadOutput()
-    : Before(dup(STDOUT_FILENO))
+    : OriginalOutput(dup(STDOUT_FILENO))
   {
-    if (pipe2(this->Ends, O_CLOEXEC) == 0) {
-      dup2(this->Ends[1], STDOUT_FILENO);
+    if (pipe2(this->Pipe, O_CLOEXEC) == 0) {
+      dup2(this->Pipe[1], STDOUT_FILENO);
     }
-    fcntl(this->Ends[0], F_SETFL, O_NONBLOCK);
+    fcntl(this->Pipe[0], F_SETFL, O_NONBLOCK);
   }
   ~UnreadOutput()
   {
-    dup2(this->Before, STDOUT_FILENO);
-    close(this->Before);
-    close(this->Ends[0]);
-    close(this->Ends[1]);
+    dup2(this->OriginalOutput, STDOUT_FILENO);
+    close(this->OriginalOutput);
+    close(this->Pipe[0]);
+    close(this->Pipe[1]);
   }
   UnreadOutput(UnreadOutput const&) = delete;
   UnreadOutput& operator=(UnreadOutput const&) = delete;
@@ -36,47 +36,47 @@
   std::string Read() const
   {
     std::string all;
-    char block[4096];
-    ssize_t count = read(this->Ends[0], block, sizeof(block));
+    char buffer[4096];
+    ssize_t count = read(this->Pipe[0], buffer, sizeof(buffer));
     while (count > 0) {
-      all.append(block, static_cast<std::size_t>(count));
-      count = read(this->Ends[0], block, sizeof(block));
+      all.append(buffer, static_cast<std::size_t>(count));
+      count = read(this->Pipe[0], buffer, sizeof(buffer));
     }
     return all;
   }
 
 private:
-  int Before;
-  int Ends[2] = { -1, -1 };
+  int OriginalOutput;
+  int Pipe[2] = { -1, -1 };
 };
 
 } // namespace
 
-TEST(Log, AReaderThatDoesNotReadIsNotWaitedFor)
+TEST(Log, DropsLinesWhenOutputIsNotRead)
 {
   gsLogSetUp(gsLogLevel::Info);
   std::string before;
   std::string after;
-  gsTime took{};
+  gsTime elapsed{};
   {
     UnreadOutput output;
     gsTime begin = gsLoop::Now();
     for (int i = 0; i < 3000; ++i) {
       gsLogLine("test").With("number", i).With("text", std::string(100, 'x'));
     }
-    took = gsLoop::Now() - begin;
+    elapsed = gsLoop::Now() - begin;
     before = output.Read();
     gsLogLine("later").With("number", 0);
     after = output.Read();
   }
-  EXPECT_LT(gsToSeconds(took), 5.0);
+  EXPECT_LT(gsToSeconds(elapsed), 5.0);
   EXPECT_NE(before.find("number=1 "), std::string::npos);
   EXPECT_EQ(before.find("number=2999 "), std::string::npos);
   EXPECT_NE(after.find("event=log_dropped lines="), std::string::npos);
   EXPECT_NE(after.find("event=later"), std::string::npos);
 }
 
-TEST(Log, ABurstIsBounded)
+TEST(Log, BoundsBurst)
 {
   gsLogSetUp(gsLogLevel::Info);
   std::size_t bytes = 0;
