--- a/Tests/Unit/gsTestMembership.cxx
+++ b/Tests/Unit/gsTestMembership.cxx
@@ -1,8 +1,9 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * Membership with many members in one process: joining, death, refutation,
- * and cost a host.
+ * Tests of SWIM membership with many members in one process: joining, failure
+ * detection, refutation, and the number of messages per host. Also tests of
+ * rendezvous hashing.
  */
 #include <gtest/gtest.h>
 
@@ -11,7 +12,8 @@
 
 namespace {
 
-/** Members that exchange messages by function calls, some of them cut off. */
+/** Members that exchange messages by function calls. Those in Down neither
+ * send nor receive. */
 class Network
 {
 public:
@@ -27,7 +29,8 @@
     }
     for (auto& [name, table] : this->Tables) {
       gsMembershipOutput ignored;
-      gsMembershipLearn(table, this->Tables.at("h0").Self, this->Now, ignored);
+      gsMembershipApplyUpdate(table, this->Tables.at("h0").Self, this->Now,
+                              ignored);
     }
   }
 
@@ -61,36 +64,37 @@
   {
     for (gsProbeMessage const& message : out.Messages) {
       ++this->Messages;
-      std::vector<gsMember> news = gsMembershipNews(this->Tables.at(from));
+      std::vector<gsMember> updates =
+        gsMembershipNextUpdates(this->Tables.at(from));
       if (this->Down.count(message.To) != 0) {
         continue;
       }
       gsMembership& to = this->Tables.at(message.To);
-      gsMembershipOutput answer;
-      for (gsMember const& member : news) {
-        gsMembershipLearn(to, member, this->Now, answer);
+      gsMembershipOutput reply;
+      for (gsMember const& member : updates) {
+        gsMembershipApplyUpdate(to, member, this->Now, reply);
       }
       if (gsFindMember(to, from) == nullptr ||
-          gsMembershipWantsSync(to, this->Tables.at(from).Digest, this->Now)) {
-        gsMembershipLearn(to, this->Tables.at(from).Self, this->Now, answer);
+          gsMembershipNeedsSync(to, this->Tables.at(from).Digest, this->Now)) {
+        gsMembershipApplyUpdate(to, this->Tables.at(from).Self, this->Now,
+                                reply);
         for (gsMember const& member : this->Tables.at(from).Members) {
-          gsMembershipLearn(to, member, this->Now, answer);
+          gsMembershipApplyUpdate(to, member, this->Now, reply);
         }
       }
-      switch (message.What) {
+      switch (message.Type) {
         case gsProbeMessage::Kind::Ping:
-          gsMembershipOnPing(to, from, message.Sequence, answer);
+          gsMembershipOnPing(to, from, message.Sequence, reply);
           break;
         case gsProbeMessage::Kind::PingRequest:
           gsMembershipOnPingRequest(to, from, message.Sequence, message.Target,
-                                    this->Now, answer);
+                                    this->Now, reply);
           break;
         case gsProbeMessage::Kind::Ack:
-          gsMembershipOnAck(to, from, message.Sequence, message.Target,
-                            answer);
+          gsMembershipOnAck(to, from, message.Sequence, message.Target, reply);
           break;
       }
-      this->Deliver(message.To, answer);
+      this->Deliver(message.To, reply);
     }
   }
 
@@ -99,7 +103,7 @@
 
 } // namespace
 
-TEST(Membership, AllLearnOfAll)
+TEST(Membership, AllMembersJoin)
 {
   Network network(24);
   network.Run(gsSeconds(15));
@@ -109,7 +113,7 @@
   }
 }
 
-TEST(Membership, ADeadHostIsFoundByAll)
+TEST(Membership, DeadHostIsDetectedByAll)
 {
   Network network(16);
   network.Run(gsSeconds(10));
@@ -123,7 +127,7 @@
   }
 }
 
-TEST(Membership, AHostThatComesBackRefutesItsDeath)
+TEST(Membership, HostRefutesItsDeathWhenReachableAgain)
 {
   Network network(8);
   network.Run(gsSeconds(8));
@@ -137,7 +141,7 @@
   EXPECT_GT(network.Tables.at("h3").Self.Refutation, 0U);
 }
 
-TEST(Membership, ALeavingHostGetsNoPoolsAndIsNotSuspectedBack)
+TEST(Membership, LeavingHostIsNotAliveAndStaysLeaving)
 {
   Network network(4);
   network.Run(gsSeconds(6));
@@ -148,7 +152,7 @@
             gsMemberState::Leaving);
 }
 
-TEST(Membership, MessagesAHostDoNotGrowWithTheHosts)
+TEST(Membership, MessagesPerHostDoNotGrowWithHosts)
 {
   double perHost[2] = {};
   int sizes[2] = { 8, 48 };
@@ -163,17 +167,17 @@
   EXPECT_LT(perHost[1], 6);
 }
 
-TEST(Rendezvous, AHostThatGoesMovesOnlyItsOwnKeys)
+TEST(Rendezvous, RemovalReassignsOnlyKeysOfRemovedName)
 {
   std::vector<std::string_view> all{ "a", "b", "c", "d" };
-  std::vector<std::string_view> less{ "a", "b", "c" };
-  int moved = 0;
+  std::vector<std::string_view> remaining{ "a", "b", "c" };
+  int reassigned = 0;
   for (int i = 0; i < 1000; ++i) {
     std::string key = "k" + std::to_string(i);
     std::string before = *gsRendezvous(all, key);
-    std::string after = *gsRendezvous(less, key);
+    std::string after = *gsRendezvous(remaining, key);
     EXPECT_TRUE(before == after || before == "d");
-    moved += before == after ? 0 : 1;
+    reassigned += before == after ? 0 : 1;
   }
-  EXPECT_NEAR(moved, 250, 60);
+  EXPECT_NEAR(reassigned, 250, 60);
 }
--- a/Tests/Unit/gsTestQuarantine.cxx
+++ b/Tests/Unit/gsTestQuarantine.cxx
@@ -1,8 +1,9 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * Evidence on requests that crash upstreams: how it adds up, what it bounds,
- * and, in a simulated system, whom it is held against.
+ * Tests of the evidence on requests that crash upstreams: how it is merged and
+ * bounded, and, in a simulation of several halls, that only the request that
+ * causes the crashes is quarantined.
  */
 #include <algorithm>
 #include <functional>
@@ -20,310 +21,339 @@
 
 gsCrashReport Report(std::uint32_t upstream,
                      gsCrashVerdict verdict = gsCrashVerdict::Crashed,
-                     gsTime at = Start, gsFingerprint const& print = Poison,
+                     gsTime at = Start,
+                     gsFingerprint const& fingerprint = Poison,
                      std::uint32_t organisation = 1)
 {
-  return { print, organisation, { upstream, verdict, at, {} } };
+  return { fingerprint, organisation, { upstream, verdict, at, {} } };
 }
 
-void TakeCrashes(gsQuarantine& table, std::size_t count)
+void ApplyCrashes(gsQuarantine& table, std::size_t count)
 {
   for (std::size_t i = 0; i < count; ++i) {
-    gsQuarantineTake(table, Report(static_cast<std::uint32_t>(i) + 1), Start);
+    gsQuarantineMergeReport(table, Report(static_cast<std::uint32_t>(i) + 1),
+                            Start);
   }
 }
 
 } // namespace
 
-TEST(Fingerprint, HoldsOrganisationTargetAndBodyApart)
+TEST(Fingerprint, DiffersByOrganisationTargetAndBody)
 {
   EXPECT_EQ(Poison, gsFingerprintOf("club", "/a", "poison"));
   EXPECT_FALSE(Poison == gsFingerprintOf("other", "/a", "poison"));
   EXPECT_FALSE(Poison == gsFingerprintOf("club", "/a?x", "poison"));
   EXPECT_FALSE(Poison == gsFingerprintOf("club", "/ap", "oison"));
-  EXPECT_EQ(gsFingerprintText({ 1, 255 }), "000000000000000100000000000000ff");
+  EXPECT_EQ(gsFormatFingerprint({ 1, 255 }),
+            "000000000000000100000000000000ff");
 }
 
-TEST(Quarantine, BeginsWithTheThirdUpstream)
+TEST(Quarantine, StartsWhenThirdUpstreamCrashes)
 {
   gsQuarantine table;
-  EXPECT_EQ(gsSuspicionOf(table, Poison, Start), gsSuspicion::None);
-  gsSuspicion const expected[] = { gsSuspicion::Suspected,
-                                   gsSuspicion::Contained,
-                                   gsSuspicion::Quarantined };
+  EXPECT_EQ(gsSuspicionLevelOf(table, Poison, Start), gsSuspicionLevel::None);
+  gsSuspicionLevel const expected[] = { gsSuspicionLevel::Suspected,
+                                        gsSuspicionLevel::Contained,
+                                        gsSuspicionLevel::Quarantined };
   for (std::uint32_t upstream : { 1U, 2U, 3U }) {
-    EXPECT_TRUE(gsQuarantineTake(table, Report(upstream), Start));
-    EXPECT_EQ(gsSuspicionOf(table, Poison, Start), expected[upstream - 1]);
+    EXPECT_TRUE(gsQuarantineMergeReport(table, Report(upstream), Start));
+    EXPECT_EQ(gsSuspicionLevelOf(table, Poison, Start),
+              expected[upstream - 1]);
   }
-  EXPECT_EQ(gsQuarantineLeft(table, Poison, Start), table.Settings.Time);
+  EXPECT_EQ(gsQuarantineTimeLeft(table, Poison, Start),
+            table.Settings.Duration);
 }
 
-TEST(Quarantine, TheSameCrashCountsOnceInAnyOrder)
+TEST(Quarantine, CountsRepeatedReportsOnceInAnyOrder)
 {
   std::vector<gsCrashReport> reports{
-    Report(1), Report(2), Report(1, gsCrashVerdict::Lived),
+    Report(1), Report(2), Report(1, gsCrashVerdict::Alive),
     Report(3), Report(2), Report(4)
   };
   std::mt19937_64 random(1);
-  for (int run = 0; run < 100; ++run) {
+  for (int round = 0; round < 100; ++round) {
     gsQuarantine table;
     std::shuffle(reports.begin(), reports.end(), random);
     for (gsCrashReport const& report : reports) {
-      gsQuarantineTake(table, report, Start);
-      EXPECT_FALSE(gsQuarantineTake(table, report, Start));
+      gsQuarantineMergeReport(table, report, Start);
+      EXPECT_FALSE(gsQuarantineMergeReport(table, report, Start));
     }
     EXPECT_EQ(gsCrashCount(table.Suspects.at(Poison)), 3U);
-    EXPECT_EQ(gsSuspicionOf(table, Poison, Start), gsSuspicion::Quarantined);
+    EXPECT_EQ(gsSuspicionLevelOf(table, Poison, Start),
+              gsSuspicionLevel::Quarantined);
   }
 }
 
-TEST(Quarantine, IsLiftedForWhatUpstreamsSurvive)
+TEST(Quarantine, EndsWhenUpstreamSurvivesRequest)
 {
   gsQuarantine table;
-  TakeCrashes(table, 3);
-  gsQuarantineTake(table, Report(9, gsCrashVerdict::Survived), Start);
-  EXPECT_EQ(gsSuspicionOf(table, Poison, Start), gsSuspicion::None);
-  TakeCrashes(table, 6);
-  EXPECT_EQ(gsSuspicionOf(table, Poison, Start), gsSuspicion::Quarantined);
+  ApplyCrashes(table, 3);
+  gsQuarantineMergeReport(table, Report(9, gsCrashVerdict::Survived), Start);
+  EXPECT_EQ(gsSuspicionLevelOf(table, Poison, Start), gsSuspicionLevel::None);
+  ApplyCrashes(table, 6);
+  EXPECT_EQ(gsSuspicionLevelOf(table, Poison, Start),
+            gsSuspicionLevel::Quarantined);
 }
 
-// Guards against a request that many callers send alike, refused since all
-// upstreams that ran it crashed together.
-TEST(Quarantine, UpstreamsThatCrashTogetherCountOnce)
+// Guards against the quarantine of a request that many callers send in the
+// same form, because all upstreams that executed it crashed at the same time.
+TEST(Quarantine, CountsOnceWhenUpstreamsCrashTogether)
 {
   gsQuarantine table;
   gsTime at = Start;
-  for (gsSuspicion expected : { gsSuspicion::Suspected, gsSuspicion::Contained,
-                                gsSuspicion::Quarantined }) {
+  for (gsSuspicionLevel expected :
+       { gsSuspicionLevel::Suspected, gsSuspicionLevel::Contained,
+         gsSuspicionLevel::Quarantined }) {
     for (std::uint32_t i = 0; i < 4; ++i) {
       gsTime crash = at + gsMilliseconds(5 * i);
       gsCrashReport report = Report(static_cast<std::uint32_t>(at.count()) + i,
                                     gsCrashVerdict::Crashed, crash);
-      report.Evidence.Ran = gsMilliseconds(50);
-      gsQuarantineTake(table, report, crash);
-      EXPECT_EQ(gsSuspicionOf(table, Poison, crash), expected);
+      report.Evidence.RunTime = gsMilliseconds(50);
+      gsQuarantineMergeReport(table, report, crash);
+      EXPECT_EQ(gsSuspicionLevelOf(table, Poison, crash), expected);
     }
     at += gsSeconds(1);
   }
 }
 
-TEST(Quarantine, EndsAndOneMoreCrashBringsItBack)
+TEST(Quarantine, EndsAfterDurationAndRestartsWhenCrashRecurs)
 {
   gsQuarantine table;
-  TakeCrashes(table, 3);
-  gsTime end = Start + table.Settings.Time;
-  EXPECT_EQ(gsSuspicionOf(table, Poison, end - gsMilliseconds(1)),
-            gsSuspicion::Quarantined);
-  EXPECT_EQ(gsSuspicionOf(table, Poison, end), gsSuspicion::Contained);
-  gsQuarantineTake(table, Report(8, gsCrashVerdict::Crashed, end), end);
-  EXPECT_EQ(gsSuspicionOf(table, Poison, end), gsSuspicion::Quarantined);
-  gsTime forgotten = end + table.Settings.Time + table.Settings.Probation;
-  EXPECT_EQ(gsSuspicionOf(table, Poison, forgotten), gsSuspicion::None);
-  gsQuarantineForget(table, forgotten);
+  ApplyCrashes(table, 3);
+  gsTime end = Start + table.Settings.Duration;
+  EXPECT_EQ(gsSuspicionLevelOf(table, Poison, end - gsMilliseconds(1)),
+            gsSuspicionLevel::Quarantined);
+  EXPECT_EQ(gsSuspicionLevelOf(table, Poison, end),
+            gsSuspicionLevel::Contained);
+  gsQuarantineMergeReport(table, Report(8, gsCrashVerdict::Crashed, end), end);
+  EXPECT_EQ(gsSuspicionLevelOf(table, Poison, end),
+            gsSuspicionLevel::Quarantined);
+  gsTime expired =
+    end + table.Settings.Duration + table.Settings.ProbationDuration;
+  EXPECT_EQ(gsSuspicionLevelOf(table, Poison, expired),
+            gsSuspicionLevel::None);
+  gsQuarantineRemoveExpired(table, expired);
   EXPECT_TRUE(table.Suspects.empty());
-  EXPECT_FALSE(gsQuarantineConcerns(table, 1));
+  EXPECT_FALSE(gsQuarantineHasSuspects(table, 1));
 }
 
-TEST(Quarantine, OldEvidenceIsNotTakenBack)
+TEST(Quarantine, RejectsEvidenceWhenExpired)
 {
   gsQuarantine table;
-  gsTime memory = table.Settings.Time + table.Settings.Probation;
-  EXPECT_FALSE(gsQuarantineTake(table, Report(1), Start + memory));
+  gsTime retention =
+    table.Settings.Duration + table.Settings.ProbationDuration;
+  EXPECT_FALSE(gsQuarantineMergeReport(table, Report(1), Start + retention));
 }
 
-TEST(Quarantine, AnOrganisationThatFillsItLosesItsOwn)
+TEST(Quarantine, EvictsOwnSuspectsWhenOrganisationReachesBound)
 {
   gsQuarantine table;
-  table.Settings.OrganisationMost = 20;
-  TakeCrashes(table, 3);
+  table.Settings.MaxSuspectsPerOrganisation = 20;
+  ApplyCrashes(table, 3);
   for (std::uint32_t i = 0; i < 1000; ++i) {
-    auto print = gsFingerprintOf("flood", "/a", std::to_string(i));
+    auto fingerprint = gsFingerprintOf("flood", "/a", std::to_string(i));
     gsTime at = Start + gsMilliseconds(i);
-    gsQuarantineTake(table, Report(i, gsCrashVerdict::Crashed, at, print, 2),
-                     at);
+    gsQuarantineMergeReport(
+      table, Report(i, gsCrashVerdict::Crashed, at, fingerprint, 2), at);
   }
   EXPECT_EQ(table.Suspects.size(), 21U);
-  EXPECT_EQ(gsSuspicionOf(table, Poison, Start), gsSuspicion::Quarantined);
-  EXPECT_EQ(table.OfOrganisation.at(2), 20U);
+  EXPECT_EQ(gsSuspicionLevelOf(table, Poison, Start),
+            gsSuspicionLevel::Quarantined);
+  EXPECT_EQ(table.SuspectsPerOrganisation.at(2), 20U);
 }
 
-TEST(Quarantine, EvidenceIsBounded)
+TEST(Quarantine, BoundsEvidencePerSuspect)
 {
   gsQuarantine table;
   for (std::uint32_t i = 0; i < 100; ++i) {
-    gsQuarantineTake(table, Report(i, gsCrashVerdict::Lived), Start);
+    gsQuarantineMergeReport(table, Report(i, gsCrashVerdict::Alive), Start);
   }
-  TakeCrashes(table, 3);
+  ApplyCrashes(table, 3);
   EXPECT_LE(table.Suspects.at(Poison).Evidence.size(),
-            table.Settings.EvidenceMost);
+            table.Settings.MaxEvidencePerSuspect);
 }
 
-TEST(Quarantine, DigestsAreEqualWhereTheSameIsTreatedTheSame)
+TEST(Quarantine, HasEqualDigestsWhenSuspicionIsEqual)
 {
   gsQuarantine a;
   gsQuarantine b;
   EXPECT_EQ(gsQuarantineDigest(a, Start), 0U);
-  TakeCrashes(a, 3);
-  TakeCrashes(b, 1);
+  ApplyCrashes(a, 3);
+  ApplyCrashes(b, 1);
   EXPECT_EQ(gsQuarantineDigest(b, Start), 0U);
   EXPECT_NE(gsQuarantineDigest(a, Start), 0U);
-  TakeCrashes(b, 4);
+  ApplyCrashes(b, 4);
   EXPECT_EQ(gsQuarantineDigest(a, Start), gsQuarantineDigest(b, Start));
 }
 
 namespace {
 
-/** Hosts of three halls before 660 upstreams; one request is poison, and two
- * times a quarter of all upstreams crashes at once. */
-class SimulatedSystem
+/** Simulates hosts of three halls that share 660 upstreams. One request, the
+ * poison, crashes each upstream that executes it. Twice in a run, about a
+ * quarter of all upstreams crash at the same time. */
+class Simulation
 {
 public:
-  explicit SimulatedSystem(std::uint64_t seed)
+  explicit Simulation(std::uint64_t seed)
     : Random(seed)
-    , Tables(HallCount * HostsOfHall)
+    , Tables(HallCount * HostsPerHall)
     , Crashed(UpstreamCount)
-    , Births(UpstreamCount)
-    , Runs(UpstreamCount)
+    , Restarts(UpstreamCount)
+    , InProgress(UpstreamCount)
   {
-    this->CutHall = this->Below(HallCount);
-    this->CutFrom = Start + gsMilliseconds(2000 + this->Below(4000));
-    this->CutUntil = this->CutFrom + gsMilliseconds(1000 + this->Below(3000));
+    this->PartitionedHall = this->DrawBelow(HallCount);
+    this->PartitionedFrom =
+      Start + gsMilliseconds(2000 + this->DrawBelow(4000));
+    this->PartitionedUntil =
+      this->PartitionedFrom + gsMilliseconds(1000 + this->DrawBelow(3000));
   }
 
   void Run()
   {
-    for (gsTime at = Start; at < Start + Length; at += gsMilliseconds(20)) {
-      this->At(at, [this] { this->Send(this->NewRequest()); });
+    for (gsTime at = Start; at < Start + Duration; at += gsMilliseconds(20)) {
+      this->Schedule(at, [this] { this->Send(this->NewRequest()); });
     }
-    for (gsTime at = Start; at < Start + Length;
-         at += gsMilliseconds(100 + this->Below(200))) {
-      this->At(at, [this] { this->Send({ Poison, true, 0, 0, 0, {} }); });
+    for (gsTime at = Start; at < Start + Duration;
+         at += gsMilliseconds(100 + this->DrawBelow(200))) {
+      this->Schedule(at, [this] {
+        this->Send({ Poison, true, 0, 0, 0, {} });
+      });
     }
     for (int i = 0; i < 2; ++i) {
-      this->At(Start + gsMilliseconds(this->Below(8000)),
-               [this] { this->CrashQuarter(); });
+      this->Schedule(Start + gsMilliseconds(this->DrawBelow(8000)),
+                     [this] { this->CrashQuarter(); });
     }
-    for (gsTime at = Start; at < Start + Length; at += gsMilliseconds(500)) {
-      this->At(at, [this] { this->Repair(); });
+    for (gsTime at = Start; at < Start + Duration; at += gsMilliseconds(500)) {
+      this->Schedule(at, [this] { this->ResendEvidence(); });
     }
     while (!this->Events.empty()) {
       Event next = this->Events.top();
       this->Events.pop();
-      this->Now = next.At;
-      next.Do();
+      this->Now = next.DueAt;
+      next.Action();
     }
   }
 
-  std::size_t LatePoison = 0; ///< Arrivals 3 s after the third crash.
-  std::size_t OthersQuarantined = 0;
+  /** Number of poison requests sent to upstreams more than 3 s after the third
+   * crash, by hosts that were not partitioned in these 3 s. */
+  std::size_t LatePoisonSends = 0;
+  /** Number of refusals of requests that are not the poison. */
+  std::size_t OtherRefusals = 0;
 
 private:
   static constexpr std::size_t HallCount = 3;
-  static constexpr std::size_t HostsOfHall = 4;
+  static constexpr std::size_t HostsPerHall = 4;
   static constexpr std::size_t UpstreamCount = 660;
-  static constexpr gsTime Length = gsSeconds(12);
-  static constexpr gsTime LearnWithin = gsSeconds(3);
+  static constexpr gsTime Duration = gsSeconds(12);
+  static constexpr gsTime MaxPropagationTime = gsSeconds(3);
 
   struct Request
   {
-    gsFingerprint Print;
+    gsFingerprint Fingerprint;
     bool IsPoison = false;
     std::size_t Host = 0;
-    int Tries = 0; ///< By its caller.
-    int Sends = 0; ///< By the host, in this try.
+    int Repetitions = 0; ///< Number of repetitions by the caller.
+    int Attempts = 0; ///< Number of attempts by the host in this repetition.
     gsTime SentAt{};
   };
 
   struct Event
   {
-    gsTime At;
-    std::function<void()> Do;
-    bool operator<(Event const& other) const { return this->At > other.At; }
+    gsTime DueAt;
+    std::function<void()> Action;
+    bool operator<(Event const& other) const
+    {
+      return this->DueAt > other.DueAt;
+    }
   };
 
-  std::size_t Below(std::size_t most) { return this->Random() % most; }
-  void At(gsTime at, std::function<void()> what)
+  std::size_t DrawBelow(std::size_t bound) { return this->Random() % bound; }
+  void Schedule(gsTime at, std::function<void()> action)
   {
-    this->Events.push({ at, std::move(what) });
+    this->Events.push({ at, std::move(action) });
   }
-  static std::size_t HallOf(std::size_t host) { return host / HostsOfHall; }
+  static std::size_t HallOf(std::size_t host) { return host / HostsPerHall; }
   static std::size_t RelayOf(std::size_t host)
   {
-    return HallOf(host) * HostsOfHall;
+    return HallOf(host) * HostsPerHall;
   }
 
   Request NewRequest()
   {
     Request request;
-    request.Print = { this->Random(), this->Random() };
+    request.Fingerprint = { this->Random(), this->Random() };
     return request;
   }
 
-  bool IsCut(std::size_t hall, gsTime since) const
+  bool IsPartitioned(std::size_t hall, gsTime since) const
   {
-    return hall == this->CutHall && this->Now >= this->CutFrom &&
-           since < this->CutUntil;
+    return hall == this->PartitionedHall &&
+           this->Now >= this->PartitionedFrom &&
+           since < this->PartitionedUntil;
   }
 
   void Send(Request request)
   {
-    request.Host = this->Below(this->Tables.size());
-    request.Sends = 0;
-    this->Place(request);
+    request.Host = this->DrawBelow(this->Tables.size());
+    request.Attempts = 0;
+    this->SendToUpstream(request);
   }
 
-  void Place(Request request)
+  void SendToUpstream(Request request)
   {
-    gsSuspicion suspicion =
-      gsSuspicionOf(this->Tables[request.Host], request.Print, this->Now);
-    if (suspicion == gsSuspicion::Quarantined) {
-      this->OthersQuarantined += request.IsPoison ? 0 : 1;
+    gsSuspicionLevel suspicion = gsSuspicionLevelOf(
+      this->Tables[request.Host], request.Fingerprint, this->Now);
+    if (suspicion == gsSuspicionLevel::Quarantined) {
+      this->OtherRefusals += request.IsPoison ? 0 : 1;
       return;
     }
-    std::size_t upstream = this->Below(UpstreamCount);
+    std::size_t upstream = this->DrawBelow(UpstreamCount);
     if (this->Crashed[upstream]) {
       return;
     }
-    ++request.Sends;
+    ++request.Attempts;
     if (request.IsPoison) {
-      this->NotePoisonArrival(request.Host);
-      this->At(this->Now + gsMilliseconds(20 + this->Below(150)),
-               [this, upstream] { this->Crash(upstream); });
+      this->RecordPoisonSend(request.Host);
+      this->Schedule(this->Now + gsMilliseconds(20 + this->DrawBelow(150)),
+                     [this, upstream] { this->Crash(upstream); });
     }
     request.SentAt = this->Now;
-    this->Runs[upstream].push_back(request);
-    std::uint64_t birth = this->Births[upstream];
-    gsFingerprint print = request.Print;
-    this->At(this->Now + gsMilliseconds(200 + this->Below(3000)),
-             [this, upstream, birth, print] {
-               this->EndRun(upstream, birth, print);
-             });
+    this->InProgress[upstream].push_back(request);
+    std::uint64_t restarts = this->Restarts[upstream];
+    gsFingerprint fingerprint = request.Fingerprint;
+    this->Schedule(this->Now + gsMilliseconds(200 + this->DrawBelow(3000)),
+                   [this, upstream, restarts, fingerprint] {
+                     this->CompleteRequest(upstream, restarts, fingerprint);
+                   });
   }
 
-  void NotePoisonArrival(std::size_t host)
+  void RecordPoisonSend(std::size_t host)
   {
-    bool late =
-      this->PoisonCrashes >= 3 && this->Now > this->ThirdCrash + LearnWithin;
-    bool inTouch = !this->IsCut(HallOf(host), this->Now - LearnWithin);
-    this->LatePoison += late && inTouch ? 1 : 0;
+    bool isLate = this->PoisonCrashes >= 3 &&
+                  this->Now > this->ThirdCrashAt + MaxPropagationTime;
+    bool wasConnected =
+      !this->IsPartitioned(HallOf(host), this->Now - MaxPropagationTime);
+    this->LatePoisonSends += isLate && wasConnected ? 1 : 0;
   }
 
-  void EndRun(std::size_t upstream, std::uint64_t birth,
-              gsFingerprint const& print)
+  void CompleteRequest(std::size_t upstream, std::uint64_t restarts,
+                       gsFingerprint const& fingerprint)
   {
-    auto& runs = this->Runs[upstream];
-    if (this->Births[upstream] == birth) {
-      runs.erase(
-        std::remove_if(runs.begin(), runs.end(),
-                       [&](Request const& run) { return run.Print == print; }),
-        runs.end());
+    auto& requests = this->InProgress[upstream];
+    if (this->Restarts[upstream] == restarts) {
+      requests.erase(std::remove_if(requests.begin(), requests.end(),
+                                    [&](Request const& request) {
+                                      return request.Fingerprint ==
+                                             fingerprint;
+                                    }),
+                     requests.end());
     }
   }
 
   void CrashQuarter()
   {
     for (std::size_t upstream = 0; upstream < UpstreamCount; ++upstream) {
-      if (this->Below(4) == 0) {
+      if (this->DrawBelow(4) == 0) {
         this->Crash(upstream);
       }
     }
@@ -335,122 +365,129 @@
       return;
     }
     this->Crashed[upstream] = true;
-    std::vector<Request> runs = std::exchange(this->Runs[upstream], {});
-    auto name = static_cast<std::uint32_t>(
-      upstream + UpstreamCount * this->Births[upstream]++);
-    for (Request& run : runs) {
-      this->NoteCrash(run, name);
+    std::vector<Request> requests =
+      std::exchange(this->InProgress[upstream], {});
+    auto incarnation = static_cast<std::uint32_t>(
+      upstream + UpstreamCount * this->Restarts[upstream]++);
+    for (Request& request : requests) {
+      this->ReportCrash(request, incarnation);
     }
-    this->At(this->Now + gsMilliseconds(2000 + this->Below(2000)),
-             [this, upstream] { this->Crashed[upstream] = false; });
+    this->Schedule(this->Now + gsMilliseconds(2000 + this->DrawBelow(2000)),
+                   [this, upstream] { this->Crashed[upstream] = false; });
   }
 
-  void NoteCrash(Request& run, std::uint32_t upstream)
+  void ReportCrash(Request& request, std::uint32_t upstream)
   {
-    if (run.IsPoison && ++this->PoisonCrashes == 3) {
-      this->ThirdCrash = this->Now;
+    if (request.IsPoison && ++this->PoisonCrashes == 3) {
+      this->ThirdCrashAt = this->Now;
     }
-    gsCrashReport report =
-      Report(upstream, gsCrashVerdict::Crashed, this->Now, run.Print);
-    report.Evidence.Ran = this->Now - run.SentAt;
-    this->Take(run.Host, report);
-    gsSuspicion suspicion =
-      gsSuspicionOf(this->Tables[run.Host], run.Print, this->Now);
-    if (run.Sends < 2 && suspicion < gsSuspicion::Contained) {
-      this->Place(run);
-    } else if (!run.IsPoison && run.Tries++ == 0) {
-      this->At(this->Now + gsMilliseconds(this->Below(500)),
-               [this, run] { this->Send(run); });
+    gsCrashReport report = Report(upstream, gsCrashVerdict::Crashed, this->Now,
+                                  request.Fingerprint);
+    report.Evidence.RunTime = this->Now - request.SentAt;
+    this->ApplyReport(request.Host, report);
+    gsSuspicionLevel suspicion = gsSuspicionLevelOf(
+      this->Tables[request.Host], request.Fingerprint, this->Now);
+    if (request.Attempts < 2 && suspicion < gsSuspicionLevel::Contained) {
+      this->SendToUpstream(request);
+    } else if (!request.IsPoison && request.Repetitions++ == 0) {
+      this->Schedule(this->Now + gsMilliseconds(this->DrawBelow(500)),
+                     [this, request] { this->Send(request); });
     }
   }
 
-  /** What a host does with evidence that is new to it. */
-  void Take(std::size_t host, gsCrashReport const& report)
+  /** Merges evidence on a host and forwards it if it is new: to the relay of
+   * the hall, and from there to the other relays and, for requests that are at
+   * least contained, to the hosts of the hall. */
+  void ApplyReport(std::size_t host, gsCrashReport const& report)
   {
-    if (!gsQuarantineTake(this->Tables[host], report, this->Now)) {
+    if (!gsQuarantineMergeReport(this->Tables[host], report, this->Now)) {
       return;
     }
     if (host != RelayOf(host)) {
-      this->Pass(host, RelayOf(host), report.Fingerprint);
+      this->SendEvidence(host, RelayOf(host), report.Fingerprint);
       return;
     }
     for (std::size_t relay = 0; relay < this->Tables.size();
-         relay += HostsOfHall) {
-      this->Pass(host, relay, report.Fingerprint);
+         relay += HostsPerHall) {
+      this->SendEvidence(host, relay, report.Fingerprint);
     }
-    if (gsSuspicionOf(this->Tables[host], report.Fingerprint, this->Now) >=
-        gsSuspicion::Contained) {
-      this->PassToHall(host, report.Fingerprint);
+    if (gsSuspicionLevelOf(this->Tables[host], report.Fingerprint,
+                           this->Now) >= gsSuspicionLevel::Contained) {
+      this->SendEvidenceToHall(host, report.Fingerprint);
     }
   }
 
-  void PassToHall(std::size_t relay, gsFingerprint const& print)
+  void SendEvidenceToHall(std::size_t relay, gsFingerprint const& fingerprint)
   {
-    for (std::size_t i = 1; i < HostsOfHall; ++i) {
-      this->Pass(relay, relay + i, print);
+    for (std::size_t i = 1; i < HostsPerHall; ++i) {
+      this->SendEvidence(relay, relay + i, fingerprint);
     }
   }
 
-  /** One message in twenty is lost. */
-  void Pass(std::size_t from, std::size_t to, gsFingerprint const& print)
+  /** Sends the evidence on a request to another host. One message in twenty is
+   * lost. */
+  void SendEvidence(std::size_t from, std::size_t to,
+                    gsFingerprint const& fingerprint)
   {
-    bool cut =
-      HallOf(from) != HallOf(to) && (this->IsCut(HallOf(from), this->Now) ||
-                                     this->IsCut(HallOf(to), this->Now));
-    if (from == to || cut || this->Below(20) == 0) {
+    bool isPartitioned = HallOf(from) != HallOf(to) &&
+                         (this->IsPartitioned(HallOf(from), this->Now) ||
+                          this->IsPartitioned(HallOf(to), this->Now));
+    if (from == to || isPartitioned || this->DrawBelow(20) == 0) {
       return;
     }
-    gsSuspect suspect = this->Tables[from].Suspects.at(print);
-    this->At(this->Now + gsMilliseconds(1 + this->Below(150)),
-             [this, to, print, suspect] {
-               for (gsCrashEvidence const& piece : suspect.Evidence) {
-                 this->Take(to, { print, suspect.Organisation, piece });
-               }
-             });
+    gsSuspectRequest suspect = this->Tables[from].Suspects.at(fingerprint);
+    this->Schedule(this->Now + gsMilliseconds(1 + this->DrawBelow(150)),
+                   [this, to, fingerprint, suspect] {
+                     for (gsCrashEvidence const& piece : suspect.Evidence) {
+                       this->ApplyReport(
+                         to, { fingerprint, suspect.OrganisationHash, piece });
+                     }
+                   });
   }
 
-  /** What differing digests bring about. */
-  void Repair()
+  /** Sends restricted requests again, as hosts do whose digests differ. */
+  void ResendEvidence()
   {
     for (std::size_t relay = 0; relay < this->Tables.size();
-         relay += HostsOfHall) {
-      for (gsFingerprint const& print :
-           gsQuarantineListed(this->Tables[relay], this->Now)) {
-        this->PassToHall(relay, print);
+         relay += HostsPerHall) {
+      for (gsFingerprint const& fingerprint :
+           gsQuarantineRestrictedRequests(this->Tables[relay], this->Now)) {
+        this->SendEvidenceToHall(relay, fingerprint);
         for (std::size_t other = 0; other < this->Tables.size();
-             other += HostsOfHall) {
-          this->Pass(relay, other, print);
+             other += HostsPerHall) {
+          this->SendEvidence(relay, other, fingerprint);
         }
       }
     }
   }
 
   std::mt19937_64 Random;
-  std::vector<gsQuarantine> Tables; ///< By host.
-  std::vector<bool> Crashed;        ///< By upstream, as all below.
-  std::vector<std::uint64_t> Births;
-  std::vector<std::vector<Request>> Runs;
+  std::vector<gsQuarantine> Tables;             ///< By host.
+  std::vector<bool> Crashed;                    ///< By upstream.
+  std::vector<std::uint64_t> Restarts;          ///< By upstream.
+  std::vector<std::vector<Request>> InProgress; ///< By upstream.
   std::priority_queue<Event> Events;
-  std::size_t CutHall = 0;
-  gsTime CutFrom{};
-  gsTime CutUntil{};
+  std::size_t PartitionedHall = 0;
+  gsTime PartitionedFrom{};
+  gsTime PartitionedUntil{};
   gsTime Now = Start;
   int PoisonCrashes = 0;
-  gsTime ThirdCrash{};
+  gsTime ThirdCrashAt{};
 };
 
 } // namespace
 
-// Guards against requests that reach upstreams after the third crash, and
-// against those refused that only ran beside them.
-TEST(Quarantine, HoldsOverAThousandRunsOfASimulatedSystem)
+// Guards against poison requests that reach upstreams after the third crash,
+// and against the refusal of requests that were in progress on the same
+// upstreams.
+TEST(Quarantine, RefusesOnlyPoisonInThousandSimulations)
 {
-  std::size_t refused = 0;
+  std::size_t otherRefusals = 0;
   for (std::uint64_t seed = 1; seed <= 1000; ++seed) {
-    SimulatedSystem system(seed);
-    system.Run();
-    EXPECT_LE(system.LatePoison, 3U) << seed;
-    refused += system.OthersQuarantined;
+    Simulation simulation(seed);
+    simulation.Run();
+    EXPECT_LE(simulation.LatePoisonSends, 3U) << seed;
+    otherRefusals += simulation.OtherRefusals;
   }
-  EXPECT_EQ(refused, 0U);
+  EXPECT_EQ(otherRefusals, 0U);
 }
--- a/Tests/Unit/gsTestRateLimit.cxx
+++ b/Tests/Unit/gsTestRateLimit.cxx
@@ -1,9 +1,9 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * Distributed rate limits: versioning of limits, and a simulation of hosts in
- * several halls that exchange shares and tokens over links with loss, delay
- * and partitions.
+ * Tests of distributed rate limits: the versioning of limits, and a simulation
+ * of hosts in several halls that exchange shares and tokens over links with
+ * loss, delay and partitions.
  */
 #include <algorithm>
 #include <deque>
@@ -33,15 +33,15 @@
   return limits;
 }
 
-double RateOf(gsRateLimits const& limits, gsTime now)
+double CurrentRate(gsRateLimits const& limits, gsTime now)
 {
-  return gsRateInForce(limits, Upstream, now).value_or(-1);
+  return gsEffectiveRate(limits, Upstream, now).value_or(-1);
 }
 
 /** Maximum number of arrivals in any window that begins after a time. */
 std::size_t MaxInWindow(std::vector<gsTime> const& arrivals, gsTime from)
 {
-  std::size_t most = 0;
+  std::size_t maxCount = 0;
   auto first = std::lower_bound(arrivals.begin(), arrivals.end(), from);
   auto last = first;
   for (auto at = first; at != arrivals.end(); ++at) {
@@ -49,20 +49,21 @@
     while (last != arrivals.end() && *last < *at + Window) {
       ++last;
     }
-    most = std::max(most, static_cast<std::size_t>(last - at));
+    maxCount = std::max(maxCount, static_cast<std::size_t>(last - at));
   }
-  return most;
+  return maxCount;
 }
 
-std::size_t Allowed(double rate)
+/** Bound on arrivals per window for simulations with faults. */
+std::size_t MaxArrivalsWithFaults(double rate)
 {
   constexpr double factor = 1.5;
   constexpr double slack = 5;
   return static_cast<std::size_t>(factor * rate * gsToSeconds(Window) + slack);
 }
 
-/** Tighter bound for simulations without faults. */
-std::size_t TargetBound(double rate)
+/** Bound on arrivals per window for simulations without faults. */
+std::size_t MaxArrivalsWithoutFaults(double rate)
 {
   constexpr double factor = 1.25;
   constexpr double slack = 3;
@@ -72,15 +73,15 @@
 struct SimulationPlan
 {
   std::size_t Halls = 3;
-  std::size_t HostsOfHall = 3;
+  std::size_t HostsPerHall = 3;
   double Rate = 2.9;
   double Demand = 30; ///< Requests per second, all hosts combined.
-  std::size_t HostsWithDemand = 0; ///< 0 for all.
-  double Loss = 0;                 ///< Fraction of messages.
-  bool Kills = false;              ///< Restarts hosts.
-  bool Cuts = false;               ///< Partitions halls temporarily.
-  bool Freezes = false;
-  gsTime Length = gsSeconds(20);
+  std::size_t HostsWithDemand = 0; ///< Zero for all hosts.
+  double Loss = 0;                 ///< Fraction of messages that are lost.
+  bool Restarts = false;           ///< Hosts stop and restart without state.
+  bool Partitions = false;         ///< Halls are partitioned temporarily.
+  bool Pauses = false;             ///< Hosts pause and then resume.
+  gsTime Duration = gsSeconds(20);
 };
 
 /** Simulates hosts in halls that share one limited upstream. */
@@ -91,7 +92,7 @@
     : Plan(plan)
     , Random(seed)
   {
-    for (std::size_t i = 0; i < plan.Halls * plan.HostsOfHall; ++i) {
+    for (std::size_t i = 0; i < plan.Halls * plan.HostsPerHall; ++i) {
       Host host;
       host.Name = "host" + std::to_string(i);
       host.Hall = "hall" + std::to_string(i % plan.Halls);
@@ -105,9 +106,9 @@
   void Run()
   {
     this->Now = Start;
-    gsNoteRateLimit(this->Hosts[0].Limits, Upstream, this->Plan.Rate,
-                    this->Now, this->Now);
-    while (this->Now < Start + this->Plan.Length) {
+    gsApplyObservedRateLimit(this->Hosts[0].Limits, Upstream, this->Plan.Rate,
+                             this->Now, this->Now);
+    while (this->Now < Start + this->Plan.Duration) {
       this->Now += Step;
       this->InjectFaults();
       this->Deliver();
@@ -118,13 +119,14 @@
     }
   }
 
-  std::vector<gsTime> Arrivals;
+  std::vector<gsTime> Arrivals; ///< Times of attempts, ascending.
 
-  double UsedShare(gsTime from) const
+  /** Fraction of the limit that is used from a time until the end. */
+  double Utilisation(gsTime from) const
   {
     auto used = std::count_if(this->Arrivals.begin(), this->Arrivals.end(),
                               [from](gsTime at) { return at >= from; });
-    double seconds = gsToSeconds(Start + this->Plan.Length - from);
+    double seconds = gsToSeconds(Start + this->Plan.Duration - from);
     return static_cast<double>(used) / (this->Plan.Rate * seconds);
   }
 
@@ -138,14 +140,14 @@
     gsRateLimits Limits;
     std::deque<gsTime> Waiting; ///< Deadlines of waiting requests.
     gsTime DownUntil{};
-    gsTime FrozenUntil{};
-    gsTime MembershipUpdateAt{}; ///< When membership is updated next.
-    gsTime HeartbeatAt{};
+    gsTime PausedUntil{};
+    gsTime NextMembershipUpdateAt{};
+    gsTime HeartbeatSentAt{}; ///< When the last heartbeat was sent.
   };
 
   struct Packet
   {
-    gsTime At{};
+    gsTime ArrivesAt{};
     std::size_t From = 0;
     std::size_t To = 0;
     gsRateMessage Message;
@@ -153,9 +155,10 @@
     bool IsHeartbeat = false;
   };
 
-  bool Chance(double share)
+  bool DrawBool(double probability)
   {
-    return std::uniform_real_distribution<double>(0, 1)(this->Random) < share;
+    return std::uniform_real_distribution<double>(0, 1)(this->Random) <
+           probability;
   }
 
   std::size_t RandomHost()
@@ -167,7 +170,7 @@
   bool IsUp(Host const& host) const { return this->Now >= host.DownUntil; }
   bool IsActive(Host const& host) const
   {
-    return this->IsUp(host) && this->Now >= host.FrozenUntil;
+    return this->IsUp(host) && this->Now >= host.PausedUntil;
   }
 
   void Reset(Host& host)
@@ -175,49 +178,51 @@
     host.Limits = {};
     host.Limits.Roles.Self = host.Name;
     host.Waiting.clear();
-    host.MembershipUpdateAt = {};
+    host.NextMembershipUpdateAt = {};
   }
 
-  bool IsCut(Host const& a, Host const& b) const
+  bool ArePartitioned(Host const& a, Host const& b) const
   {
-    bool cut = this->Now < this->CutUntil && a.Hall != b.Hall;
-    return cut && (a.Hall == this->CutHall || b.Hall == this->CutHall);
+    bool isPartitioned =
+      this->Now < this->PartitionedUntil && a.Hall != b.Hall;
+    return isPartitioned && (a.Hall == this->PartitionedHall ||
+                             b.Hall == this->PartitionedHall);
   }
 
   void InjectFaults()
   {
-    constexpr double perStep = 0.002;
-    if (this->Plan.Kills && this->Chance(perStep)) {
+    constexpr double probabilityPerStep = 0.002;
+    if (this->Plan.Restarts && this->DrawBool(probabilityPerStep)) {
       Host& host = this->Hosts[this->RandomHost()];
       this->Reset(host);
       host.DownUntil =
         this->Now + gsMilliseconds(300 + this->RandomHost() * 200);
     }
-    if (this->Plan.Freezes && this->Chance(perStep)) {
-      this->Hosts[this->RandomHost()].FrozenUntil =
+    if (this->Plan.Pauses && this->DrawBool(probabilityPerStep)) {
+      this->Hosts[this->RandomHost()].PausedUntil =
         this->Now + gsMilliseconds(200 + this->RandomHost() * 300);
     }
-    if (this->Plan.Cuts && this->Now >= this->CutUntil &&
-        this->Chance(perStep)) {
-      this->CutHall = this->Hosts[this->RandomHost()].Hall;
-      this->CutUntil =
+    if (this->Plan.Partitions && this->Now >= this->PartitionedUntil &&
+        this->DrawBool(probabilityPerStep)) {
+      this->PartitionedHall = this->Hosts[this->RandomHost()].Hall;
+      this->PartitionedUntil =
         this->Now + gsMilliseconds(500 + this->RandomHost() * 500);
     }
   }
 
-  void Post(std::size_t from, std::string const& to, Packet packet)
+  void Send(std::size_t from, std::string const& to, Packet packet)
   {
     auto found =
       std::find_if(this->Hosts.begin(), this->Hosts.end(),
                    [&to](Host const& host) { return host.Name == to; });
-    bool lost = found == this->Hosts.end() || this->Chance(this->Plan.Loss);
-    if (lost || this->IsCut(this->Hosts[from], *found)) {
+    bool lost = found == this->Hosts.end() || this->DrawBool(this->Plan.Loss);
+    if (lost || this->ArePartitioned(this->Hosts[from], *found)) {
       return;
     }
     packet.From = from;
     packet.To = static_cast<std::size_t>(found - this->Hosts.begin());
     std::uniform_int_distribution<int> delay(1, 8);
-    packet.At = this->Now + gsMilliseconds(delay(this->Random));
+    packet.ArrivesAt = this->Now + gsMilliseconds(delay(this->Random));
     this->Packets.push_back(std::move(packet));
   }
 
@@ -225,20 +230,20 @@
   {
     std::vector<Packet> due;
     auto isLater = [this](Packet const& packet) {
-      return packet.At > this->Now;
+      return packet.ArrivesAt > this->Now;
     };
-    auto border = std::stable_partition(this->Packets.begin(),
-                                        this->Packets.end(), isLater);
-    due.assign(std::make_move_iterator(border),
+    auto firstDue = std::stable_partition(this->Packets.begin(),
+                                          this->Packets.end(), isLater);
+    due.assign(std::make_move_iterator(firstDue),
                std::make_move_iterator(this->Packets.end()));
-    this->Packets.erase(border, this->Packets.end());
+    this->Packets.erase(firstDue, this->Packets.end());
     for (Packet& packet : due) {
       Host& to = this->Hosts[packet.To];
       if (!this->IsUp(to)) {
         continue;
       }
       if (!this->IsActive(to)) {
-        packet.At = to.FrozenUntil;
+        packet.ArrivesAt = to.PausedUntil;
         this->Packets.push_back(packet);
         continue;
       }
@@ -250,7 +255,7 @@
   {
     std::string const& from = this->Hosts[packet.From].Name;
     if (packet.IsHeartbeat) {
-      to.Limits.RelaysHeardAt[from] = this->Now;
+      to.Limits.RelayAnnouncedAt[from] = this->Now;
     }
     if (packet.Notice) {
       gsApplyRateLimitNotice(to.Limits, *packet.Notice, this->Now);
@@ -263,22 +268,22 @@
     }
   }
 
-  /** Updates membership at random intervals, so that hosts' views differ. The
-   * first running host of a hall is its relay. */
+  /** Updates membership at random intervals, so that hosts disagree about
+   * it temporarily. The first running host of a hall is its relay. */
   void UpdateMembership(Host& host)
   {
-    constexpr gsTime most = gsMilliseconds(1500);
-    std::uniform_int_distribution<gsTime::rep> delay(0, most.count());
-    if (this->Now < host.MembershipUpdateAt) {
+    constexpr gsTime maxDelay = gsMilliseconds(1500);
+    std::uniform_int_distribution<gsTime::rep> delay(0, maxDelay.count());
+    if (this->Now < host.NextMembershipUpdateAt) {
       return;
     }
-    host.MembershipUpdateAt = this->Now + gsTime(delay(this->Random));
+    host.NextMembershipUpdateAt = this->Now + gsTime(delay(this->Random));
     gsRateRoles& roles = host.Limits.Roles;
     roles.Relays.clear();
-    roles.HallSize = this->Plan.HostsOfHall;
-    roles.HostsOfLate = this->Hosts.size();
+    roles.HallSize = this->Plan.HostsPerHall;
+    roles.RecentPeakHosts = this->Hosts.size();
     for (Host const& other : this->Hosts) {
-      if (this->IsUp(other) && !this->IsCut(host, other)) {
+      if (this->IsUp(other) && !this->ArePartitioned(host, other)) {
         roles.Relays.emplace(other.Hall, other.Name);
       }
     }
@@ -291,28 +296,28 @@
     constexpr gsTime period = gsMilliseconds(500);
     for (std::size_t i = 0; i < this->Hosts.size(); ++i) {
       Host& host = this->Hosts[i];
-      if (!this->IsActive(host) || this->Now - host.HeartbeatAt < period) {
+      if (!this->IsActive(host) || this->Now - host.HeartbeatSentAt < period) {
         continue;
       }
-      host.HeartbeatAt = this->Now;
+      host.HeartbeatSentAt = this->Now;
       gsRateRoles const& roles = host.Limits.Roles;
       if (roles.Relay != host.Name) {
         continue;
       }
       for (Host const& other : this->Hosts) {
-        bool relay = roles.Relays.count(other.Hall) != 0 &&
-                     roles.Relays.at(other.Hall) == other.Name;
-        if (&other == &host || (other.Hall != host.Hall && !relay)) {
+        bool isRelay = roles.Relays.count(other.Hall) != 0 &&
+                       roles.Relays.at(other.Hall) == other.Name;
+        if (&other == &host || (other.Hall != host.Hall && !isRelay)) {
           continue;
         }
         Packet packet;
         packet.IsHeartbeat = true;
-        this->Post(i, other.Name, packet);
+        this->Send(i, other.Name, packet);
         for (gsRateLimitNotice const& notice :
-             gsRateLimitNotices(host.Limits, this->Now)) {
-          Packet repair;
-          repair.Notice = notice;
-          this->Post(i, other.Name, repair);
+             gsMakeActiveRateLimitNotices(host.Limits, this->Now)) {
+          Packet noticePacket;
+          noticePacket.Notice = notice;
+          this->Send(i, other.Name, noticePacket);
         }
       }
     }
@@ -326,25 +331,27 @@
          std::exchange(host.Limits.UnsentUpstreams, {})) {
       for (Host const& other : this->Hosts) {
         Packet packet;
-        packet.Notice = gsRateLimitNoticeOf(host.Limits, upstream, this->Now);
-        this->Post(from, other.Name, packet);
+        packet.Notice =
+          gsMakeRateLimitNotice(host.Limits, upstream, this->Now);
+        this->Send(from, other.Name, packet);
       }
     }
   }
 
-  void Request(Host& host)
+  void HandleRequest(Host& host)
   {
-    bool limited = gsRateInForce(host.Limits, Upstream, this->Now).has_value();
+    bool limited =
+      gsEffectiveRate(host.Limits, Upstream, this->Now).has_value();
     if (!limited) {
-      return; // Hosts that do not know the limit yet are not counted.
+      return; // Hosts that have not received the limit yet are not counted.
     }
     if (gsHasToken(host.Limits, Upstream, this->Now) &&
         gsSpendToken(host.Limits, Upstream, this->Now)) {
       this->Arrivals.push_back(this->Now);
       return;
     }
-    constexpr std::size_t most = 20;
-    if (host.Waiting.size() < most) {
+    constexpr std::size_t maxWaiting = 20;
+    if (host.Waiting.size() < maxWaiting) {
       host.Waiting.push_back(this->Now + gsSeconds(1));
       this->RequestTokens(host);
     }
@@ -378,23 +385,23 @@
     }
     this->UpdateMembership(host);
     this->Publish(number);
-    std::size_t at = this->Plan.HostsWithDemand == 0
-                       ? this->Hosts.size()
-                       : this->Plan.HostsWithDemand;
-    // Moves demand from host to host.
+    std::size_t hostsWithDemand = this->Plan.HostsWithDemand == 0
+                                    ? this->Hosts.size()
+                                    : this->Plan.HostsWithDemand;
+    // The demand moves to the next host every three seconds.
     std::size_t shift =
       static_cast<std::size_t>(gsToSeconds(this->Now - Start) / 3.0);
-    bool asked = (number + shift) % this->Hosts.size() < at;
-    double perStep =
-      this->Plan.Demand * gsToSeconds(Step) / static_cast<double>(at);
-    if (asked && this->Chance(perStep)) {
-      this->Request(host);
+    bool hasDemand = (number + shift) % this->Hosts.size() < hostsWithDemand;
+    double probabilityPerStep = this->Plan.Demand * gsToSeconds(Step) /
+                                static_cast<double>(hostsWithDemand);
+    if (hasDemand && this->DrawBool(probabilityPerStep)) {
+      this->HandleRequest(host);
     }
     for (gsRateMessage& message : gsRateLimitTick(host.Limits, this->Now)) {
       Packet packet;
-      std::string const to = message.To;
+      std::string const to = message.Receiver;
       packet.Message = std::move(message);
-      this->Post(number, to, std::move(packet));
+      this->Send(number, to, std::move(packet));
     }
     this->ServeWaiting(host);
     host.Limits.GrantedUpstreams.clear();
@@ -405,55 +412,59 @@
   gsTime Now{};
   std::vector<Host> Hosts;
   std::vector<Packet> Packets;
-  std::string CutHall;
-  gsTime CutUntil{};
+  std::string PartitionedHall;
+  gsTime PartitionedUntil{};
 };
 
 void ExpectWithinLimit(SimulationPlan const& plan, std::uint64_t seed,
-                       double minUsedShare)
+                       double minUtilisation)
 {
   Simulation simulation(plan, seed);
   simulation.Run();
-  gsTime settled = Start + gsSeconds(3);
-  EXPECT_LE(MaxInWindow(simulation.Arrivals, Start), TargetBound(plan.Rate))
+  gsTime measuredFrom = Start + gsSeconds(3);
+  EXPECT_LE(MaxInWindow(simulation.Arrivals, Start),
+            MaxArrivalsWithoutFaults(plan.Rate))
+    << "seed " << seed;
+  EXPECT_GE(simulation.Utilisation(measuredFrom), minUtilisation)
     << "seed " << seed;
-  EXPECT_GE(simulation.UsedShare(settled), minUsedShare) << "seed " << seed;
 }
 
 } // namespace
 
-TEST(RateLimit, LowerBindsAtOnceAndHigherOnlyFromANewerAnswer)
+TEST(RateLimit, AppliesLowerLimitAtOnceAndHigherOnlyFromNewerAnswer)
 {
   gsRateLimits limits = SingleHost();
-  EXPECT_TRUE(gsNoteRateLimit(limits, Upstream, 20, Start, Start));
+  EXPECT_TRUE(gsApplyObservedRateLimit(limits, Upstream, 20, Start, Start));
   gsTime later = Start + gsSeconds(1);
-  // The attempt was not sent after the limit was learned.
-  EXPECT_FALSE(gsNoteRateLimit(limits, Upstream, 30, Start, later));
-  EXPECT_TRUE(gsNoteRateLimit(limits, Upstream, 3, Start, later));
-  EXPECT_EQ(RateOf(limits, later), 3);
-  EXPECT_FALSE(gsNoteRateLimit(limits, Upstream, 20, later, later));
-  EXPECT_TRUE(
-    gsNoteRateLimit(limits, Upstream, 20, later + gsMilliseconds(1), later));
-  EXPECT_EQ(RateOf(limits, later), 20);
+  // The attempt was not sent after the current version was applied.
+  EXPECT_FALSE(gsApplyObservedRateLimit(limits, Upstream, 30, Start, later));
+  EXPECT_TRUE(gsApplyObservedRateLimit(limits, Upstream, 3, Start, later));
+  EXPECT_EQ(CurrentRate(limits, later), 3);
+  EXPECT_FALSE(gsApplyObservedRateLimit(limits, Upstream, 20, later, later));
+  EXPECT_TRUE(gsApplyObservedRateLimit(limits, Upstream, 20,
+                                       later + gsMilliseconds(1), later));
+  EXPECT_EQ(CurrentRate(limits, later), 20);
 }
 
-TEST(RateLimit, EndsByANewerAnswerWithoutItAndRisesStepwise)
+TEST(RateLimit, EndsAndRampsUpWhenNewerAnswerHasNoLimit)
 {
   gsRateLimits limits = SingleHost();
-  gsNoteRateLimit(limits, Upstream, 2, Start, Start);
-  EXPECT_FALSE(gsNoteRateLimit(limits, Upstream, std::nullopt, Start, Start));
+  gsApplyObservedRateLimit(limits, Upstream, 2, Start, Start);
+  EXPECT_FALSE(
+    gsApplyObservedRateLimit(limits, Upstream, std::nullopt, Start, Start));
   gsTime sent = Start + gsSeconds(1);
-  EXPECT_TRUE(gsNoteRateLimit(limits, Upstream, std::nullopt, sent, sent));
-  EXPECT_EQ(RateOf(limits, sent), 2);
-  EXPECT_EQ(RateOf(limits, sent + gsSeconds(1)), 8);
-  EXPECT_EQ(RateOf(limits, sent + gsSeconds(3)), -1); // None.
+  EXPECT_TRUE(
+    gsApplyObservedRateLimit(limits, Upstream, std::nullopt, sent, sent));
+  EXPECT_EQ(CurrentRate(limits, sent), 2);
+  EXPECT_EQ(CurrentRate(limits, sent + gsSeconds(1)), 8);
+  EXPECT_EQ(CurrentRate(limits, sent + gsSeconds(3)), -1); // No limit.
   EXPECT_TRUE(gsHasToken(limits, Upstream, sent + gsSeconds(3)));
 }
 
-TEST(RateLimit, NewestVersionWinsAndOfTwoTheStricter)
+TEST(RateLimit, AppliesNewestVersionAndStricterLimitWhenVersionsAreEqual)
 {
   gsRateLimits limits = SingleHost();
-  gsNoteRateLimit(limits, Upstream, 5, Start, Start);
+  gsApplyObservedRateLimit(limits, Upstream, 5, Start, Start);
   EXPECT_FALSE(
     gsApplyRateLimitNotice(limits, { Upstream, 9, false, {}, 1 }, Start));
   EXPECT_TRUE(
@@ -462,39 +473,40 @@
     gsApplyRateLimitNotice(limits, { Upstream, 9, false, {}, 2 }, Start));
   EXPECT_FALSE(
     gsApplyRateLimitNotice(limits, { Upstream, 3, false, {}, 1 }, Start));
-  EXPECT_EQ(RateOf(limits, Start), 9);
+  EXPECT_EQ(CurrentRate(limits, Start), 9);
   EXPECT_TRUE(
     gsApplyRateLimitNotice(limits, { Upstream, 9, true, {}, 3 }, Start));
-  // Other hosts may have removed the ended limit and restarted its versions.
-  gsTime over = Start + gsSeconds(10);
-  EXPECT_TRUE(
-    gsApplyRateLimitNotice(limits, { Upstream, 2, false, {}, 1 }, over));
-  EXPECT_EQ(RateOf(limits, over), 2);
+  // Other hosts may have removed the ended limit and restarted its versions
+  // at 1.
+  gsTime afterRecovery = Start + gsSeconds(10);
+  EXPECT_TRUE(gsApplyRateLimitNotice(limits, { Upstream, 2, false, {}, 1 },
+                                     afterRecovery));
+  EXPECT_EQ(CurrentRate(limits, afterRecovery), 2);
 }
 
-TEST(RateLimit, ZeroIsProbedAndHugeIsBounded)
+TEST(RateLimit, ClampsRateWhenZeroOrInfinite)
 {
   gsRateLimits limits = SingleHost();
-  gsNoteRateLimit(limits, Upstream, 0, Start, Start);
-  EXPECT_EQ(RateOf(limits, Start), limits.Settings.MinRate);
-  gsNoteRateLimit(limits, 78, HUGE_VAL, Start, Start);
-  EXPECT_EQ(gsRateInForce(limits, 78, Start), limits.Settings.MaxRate);
+  gsApplyObservedRateLimit(limits, Upstream, 0, Start, Start);
+  EXPECT_EQ(CurrentRate(limits, Start), limits.Settings.MinRate);
+  gsApplyObservedRateLimit(limits, 78, HUGE_VAL, Start, Start);
+  EXPECT_EQ(gsEffectiveRate(limits, 78, Start), limits.Settings.MaxRate);
 }
 
-TEST(RateLimit, ALongPauseGivesOneTokenNotTheSum)
+TEST(RateLimit, IssuesOneTokenAfterLongPause)
 {
   gsRateLimits limits = SingleHost();
-  gsNoteRateLimit(limits, Upstream, 2, Start, Start);
-  gsTime woken = Start + gsSeconds(60);
-  gsRequestTokens(limits, Upstream, 10, woken + gsSeconds(1), woken);
-  gsRateLimitTick(limits, woken);
+  gsApplyObservedRateLimit(limits, Upstream, 2, Start, Start);
+  gsTime resumed = Start + gsSeconds(60);
+  gsRequestTokens(limits, Upstream, 10, resumed + gsSeconds(1), resumed);
+  gsRateLimitTick(limits, resumed);
   EXPECT_EQ(limits.GrantedUpstreams.size(), 1U);
 }
 
-TEST(RateLimit, ReservedTokenIsNotChosenTwice)
+TEST(RateLimit, HasNoTokenWhenOnlyTokenIsReserved)
 {
   gsRateLimits limits = SingleHost();
-  gsNoteRateLimit(limits, Upstream, 2, Start, Start);
+  gsApplyObservedRateLimit(limits, Upstream, 2, Start, Start);
   gsTime now = Start + gsSeconds(1);
   gsRequestTokens(limits, Upstream, 1, now + gsSeconds(1), now);
   gsRateLimitTick(limits, now);
@@ -506,23 +518,24 @@
   gsReleaseToken(limits, Upstream);
 }
 
-TEST(RateLimit, OldAndUnlistedOnesAreForgotten)
+TEST(RateLimit, RemovesUnlistedLimitsAndEvictsOldestWhenFull)
 {
   gsRateLimits limits = SingleHost();
-  gsNoteRateLimit(limits, Upstream, 2, Start, Start);
-  auto never = [](std::uint32_t) { return false; };
-  gsForgetRateLimits(limits, never, Start + gsSeconds(60));
+  gsApplyObservedRateLimit(limits, Upstream, 2, Start, Start);
+  auto isListed = [](std::uint32_t) { return false; };
+  gsRemoveExpiredRateLimits(limits, isListed, Start + gsSeconds(60));
   EXPECT_EQ(limits.Upstreams.size(), 1U);
-  gsForgetRateLimits(limits, never, Start + std::chrono::minutes(11));
+  gsRemoveExpiredRateLimits(limits, isListed,
+                            Start + std::chrono::minutes(11));
   EXPECT_TRUE(limits.Upstreams.empty());
   for (std::uint32_t i = 0; i < 3000; ++i) {
-    gsNoteRateLimit(limits, i, 2, Start, Start + gsMilliseconds(i));
+    gsApplyObservedRateLimit(limits, i, 2, Start, Start + gsMilliseconds(i));
   }
   EXPECT_EQ(limits.Upstreams.size(), limits.Settings.MaxUpstreams);
 }
 
 // Guards against hosts that each use the full limit.
-TEST(RateLimitShared, HostsOfAllHallsTogetherKeepIt)
+TEST(RateLimitShared, StaysWithinLimitWhenAllHostsHaveDemand)
 {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     ExpectWithinLimit({}, seed, 0.9);
@@ -530,7 +543,7 @@
 }
 
 // Guards against one host being restricted to its own share.
-TEST(RateLimitShared, OneHostWithAllDemandUsesNearlyAllOfIt)
+TEST(RateLimitShared, UsesWholeLimitWhenOneHostHasAllDemand)
 {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     SimulationPlan plan;
@@ -542,64 +555,68 @@
 }
 
 // Guards against bursts from hundreds of hosts that each hold a token.
-TEST(RateLimitShared, HundredsOfHostsKeepAFastLimit)
+TEST(RateLimitShared, StaysWithinHighLimitWithHundredsOfHosts)
 {
   SimulationPlan plan;
   plan.Halls = 6;
-  plan.HostsOfHall = 57;
+  plan.HostsPerHall = 57;
   plan.Rate = 20;
   plan.Demand = 100;
-  plan.Length = gsSeconds(12);
+  plan.Duration = gsSeconds(12);
   ExpectWithinLimit(plan, 1, 0.9);
 }
 
 // Guards against exceeding the limit when hosts disagree about the issuer.
-TEST(RateLimitShared, KeptUnderLossKillsCutsAndFreezes)
+TEST(RateLimitShared, StaysWithinLimitUnderLossRestartsPartitionsAndPauses)
 {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     SimulationPlan plan;
     plan.Loss = seed % 3 == 0 ? 0.1 : 0;
-    plan.Kills = seed % 2 == 0;
-    plan.Cuts = seed % 5 < 3;
-    plan.Freezes = seed % 7 < 3;
+    plan.Restarts = seed % 2 == 0;
+    plan.Partitions = seed % 5 < 3;
+    plan.Pauses = seed % 7 < 3;
     plan.Rate = seed % 4 == 0 ? 20 : 2.9;
     plan.HostsWithDemand = seed % 6 == 0 ? 1 : 0;
     Simulation simulation(plan, seed);
     simulation.Run();
-    EXPECT_LE(MaxInWindow(simulation.Arrivals, Start), Allowed(plan.Rate))
+    EXPECT_LE(MaxInWindow(simulation.Arrivals, Start),
+              MaxArrivalsWithFaults(plan.Rate))
       << "seed " << seed;
-    EXPECT_GT(simulation.UsedShare(Start), 0.2) << "seed " << seed;
+    EXPECT_GT(simulation.Utilisation(Start), 0.2) << "seed " << seed;
   }
 }
 
-TEST(RateLimitPlacement, UpstreamWithoutATokenIsPassedOverAndWanted)
+TEST(RateLimitPlacement, SkipsAndReportsUpstreamWithoutToken)
 {
   gsFleet fleet = gsFleetCases::MakeFleet(2);
   gsTime const now = gsFleetCases::Now;
   std::uint32_t const limited = gsFleetFind(fleet, "u0")->Hash;
-  gsNoteRateLimit(fleet.RateLimits, limited, 2, now, now);
-  gsFleetFind(fleet, "u1")->Own.Running = 8; // Higher cost.
+  gsApplyObservedRateLimit(fleet.RateLimits, limited, 2, now, now);
+  gsFleetFind(fleet, "u1")->OwnLoad.OpenAttempts = 8; // Higher cost.
   gsRandom random(1);
-  gsPlacement placement = gsPlace(fleet, gsFleetCases::Plain(), now, random);
+  gsPlacement placement =
+    gsPlaceRequest(fleet, gsFleetCases::MakeLongRequest(), now, random);
   ASSERT_NE(placement.Row, nullptr);
   EXPECT_EQ(placement.Row->Listed.Id, "u1");
   ASSERT_NE(placement.RateLimitedRow, nullptr);
   EXPECT_EQ(placement.RateLimitedRow->Listed.Id, "u0");
   fleet.RateLimits.Upstreams[limited].Tokens = { now + gsSeconds(1) };
-  placement = gsPlace(fleet, gsFleetCases::Plain(), now, random);
+  placement =
+    gsPlaceRequest(fleet, gsFleetCases::MakeLongRequest(), now, random);
   EXPECT_EQ(placement.Row->Listed.Id, "u0");
   EXPECT_EQ(placement.RateLimitedRow, nullptr);
 }
 
-TEST(RateLimitPlacement, CauseAndWaitAreToldWhereNoTokenIsLeft)
+TEST(RateLimitPlacement, ReportsCauseAndWaitWhenNoTokenIsLeft)
 {
   gsFleet fleet = gsFleetCases::MakeFleet(1);
   gsTime const now = gsFleetCases::Now;
-  gsNoteRateLimit(fleet.RateLimits, gsFleetFind(fleet, "u0")->Hash, 2, now,
-                  now);
+  gsApplyObservedRateLimit(fleet.RateLimits, gsFleetFind(fleet, "u0")->Hash, 2,
+                           now, now);
   gsRandom random(1);
-  gsPlacement placement = gsPlace(fleet, gsFleetCases::Plain(), now, random);
+  gsPlacement placement =
+    gsPlaceRequest(fleet, gsFleetCases::MakeLongRequest(), now, random);
   EXPECT_EQ(placement.Row, nullptr);
   EXPECT_EQ(placement.Cause, gsPlacementCause::RateLimited);
-  EXPECT_EQ(placement.RestLeft, gsMilliseconds(250));
+  EXPECT_EQ(placement.RetryAfter, gsMilliseconds(250));
 }
--- a/Tests/Unit/gsTestReplica.cxx
+++ b/Tests/Unit/gsTestReplica.cxx
@@ -1,59 +1,60 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * Replication: versions only rise, and who is behind fetches.
+ * Tests of replication: versions only increase, and a host with an older
+ * version fetches the newest one from a peer.
  */
 #include <gtest/gtest.h>
 
 #include "gsReplica.h"
 
-TEST(Replica, AVersionNeverGoesBackAndIsTakenOnce)
+TEST(Replica, AppliesEachVersionOnceAndOnlyIncreasingOnes)
 {
   gsReplica replica;
-  EXPECT_TRUE(gsReplicaOffer(replica, 0));
-  EXPECT_FALSE(gsReplicaOffer(replica, 0));
-  EXPECT_TRUE(gsReplicaOffer(replica, 5));
-  EXPECT_FALSE(gsReplicaOffer(replica, 4));
+  EXPECT_TRUE(gsReplicaAdvance(replica, 0));
+  EXPECT_FALSE(gsReplicaAdvance(replica, 0));
+  EXPECT_TRUE(gsReplicaAdvance(replica, 5));
+  EXPECT_FALSE(gsReplicaAdvance(replica, 4));
   EXPECT_EQ(replica.Version, 5U);
 }
 
-TEST(Replica, FetchesFromThePeerWithTheNewest)
+TEST(Replica, FetchesFromPeerWithNewestVersion)
 {
   gsReplica replica;
   gsReplicaStart(replica, gsTime(0));
-  gsReplicaOffer(replica, 3);
-  gsReplicaHear(replica, "a", 4);
-  gsReplicaHear(replica, "b", 7);
-  gsReplicaHear(replica, "c", 5);
-  gsReplicaOutput out;
+  gsReplicaAdvance(replica, 3);
+  gsReplicaReceiveVersion(replica, "a", 4);
+  gsReplicaReceiveVersion(replica, "b", 7);
+  gsReplicaReceiveVersion(replica, "c", 5);
+  gsReplicaActions out;
   gsReplicaTick(replica, gsSeconds(1), out);
-  EXPECT_EQ(out.FetchFrom, "b");
+  EXPECT_EQ(out.FetchPeer, "b");
   EXPECT_TRUE(out.PollPlatform);
-  gsReplicaOutput again;
-  gsReplicaTick(replica, gsSeconds(1), again);
-  EXPECT_TRUE(again.FetchFrom.empty());
+  gsReplicaActions next;
+  gsReplicaTick(replica, gsSeconds(1), next);
+  EXPECT_TRUE(next.FetchPeer.empty());
 }
 
-TEST(Replica, AStartWaitsForThePlatformBeforeItTakesAPeers)
+TEST(Replica, FetchesFromPeerWhenPlatformTimesOutAtStart)
 {
   gsReplica replica;
   gsReplicaStart(replica, gsTime(0));
-  gsReplicaHear(replica, "a", 4);
-  gsReplicaOutput early;
-  gsReplicaTick(replica, gsSeconds(1), early);
-  EXPECT_TRUE(early.FetchFrom.empty());
-  gsReplicaOutput late;
-  gsReplicaTick(replica, gsSeconds(4), late);
-  EXPECT_EQ(late.FetchFrom, "a");
+  gsReplicaReceiveVersion(replica, "a", 4);
+  gsReplicaActions beforeTimeout;
+  gsReplicaTick(replica, gsSeconds(1), beforeTimeout);
+  EXPECT_TRUE(beforeTimeout.FetchPeer.empty());
+  gsReplicaActions afterTimeout;
+  gsReplicaTick(replica, gsSeconds(4), afterTimeout);
+  EXPECT_EQ(afterTimeout.FetchPeer, "a");
 }
 
-TEST(Acceptance, NamesTheHostsThatAreMissing)
+TEST(Acceptance, ReturnsHostsWithOlderOrUnknownVersion)
 {
-  gsAcceptance acceptance;
-  acceptance.Version = 4;
-  gsAcceptanceNote(acceptance, "a", 4);
-  gsAcceptanceNote(acceptance, "b", 3);
-  gsAcceptanceNote(acceptance, "a", 2);
-  EXPECT_EQ(gsAcceptanceMissing(acceptance, { "a", "b", "c" }),
+  gsVersionTracker acceptance;
+  acceptance.TargetVersion = 4;
+  gsVersionTrackerRecord(acceptance, "a", 4);
+  gsVersionTrackerRecord(acceptance, "b", 3);
+  gsVersionTrackerRecord(acceptance, "a", 2);
+  EXPECT_EQ(gsVersionTrackerMissingHosts(acceptance, { "a", "b", "c" }),
             (std::vector<std::string>{ "b", "c" }));
 }
--- a/Tests/Unit/gsTestRouteTable.cxx
+++ b/Tests/Unit/gsTestRouteTable.cxx
@@ -1,5 +1,5 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
-/** \file Looking routes, keys and urgencies up. */
+/** \file Tests the lookup of routes, keys, urgencies and derived members. */
 #include <gtest/gtest.h>
 
 #include "gsRouteTable.h"
@@ -16,8 +16,8 @@
   return route;
 }
 
-std::string Found(gsRouteTable const& table, std::string_view host,
-                  std::string_view path)
+std::string FindRouteName(gsRouteTable const& table, std::string_view host,
+                          std::string_view path)
 {
   gsRoute const* route = gsFindRoute(table, host, path);
   return route == nullptr ? "none" : route->Name;
@@ -25,7 +25,7 @@
 
 } // namespace
 
-TEST(RouteTable, TheLongestPrefixOfTheHostWins)
+TEST(RouteTable, FindsRouteWithLongestPrefix)
 {
   gsRouteTable table;
   table.Routes = { MakeRoute("root", "one.example", "/"),
@@ -33,41 +33,41 @@
                    MakeRoute("ab", "one.example", "/a/b/"),
                    MakeRoute("other", "two.example", "/a/") };
   gsIndexRoutes(table);
-  EXPECT_EQ(Found(table, "one.example", "/a/b/c"), "ab");
-  EXPECT_EQ(Found(table, "one.example", "/a/b"), "a");
-  EXPECT_EQ(Found(table, "one.example", "/ab/c"), "root");
-  EXPECT_EQ(Found(table, "ONE.example:8080", "/a/b/?q=/x/"), "ab");
-  EXPECT_EQ(Found(table, "one.example", "/?x=/a/b/"), "root");
-  EXPECT_EQ(Found(table, "two.example", "/a/b/c"), "other");
-  EXPECT_EQ(Found(table, "two.example", "/b/c"), "none");
-  EXPECT_EQ(Found(table, "three.example", "/a/"), "none");
-  EXPECT_EQ(Found(table, "one.example", ""), "none");
+  EXPECT_EQ(FindRouteName(table, "one.example", "/a/b/c"), "ab");
+  EXPECT_EQ(FindRouteName(table, "one.example", "/a/b"), "a");
+  EXPECT_EQ(FindRouteName(table, "one.example", "/ab/c"), "root");
+  EXPECT_EQ(FindRouteName(table, "ONE.example:8080", "/a/b/?q=/x/"), "ab");
+  EXPECT_EQ(FindRouteName(table, "one.example", "/?x=/a/b/"), "root");
+  EXPECT_EQ(FindRouteName(table, "two.example", "/a/b/c"), "other");
+  EXPECT_EQ(FindRouteName(table, "two.example", "/b/c"), "none");
+  EXPECT_EQ(FindRouteName(table, "three.example", "/a/"), "none");
+  EXPECT_EQ(FindRouteName(table, "one.example", ""), "none");
 }
 
-TEST(RouteTable, SharesFollowTheirWeights)
+TEST(RouteTable, SelectsServiceByWeight)
 {
   gsRoute route;
   route.Shares = { { "old", 90 }, { "new", 10 } };
-  EXPECT_EQ(gsPickShare(route, 0.0), "old");
-  EXPECT_EQ(gsPickShare(route, 0.899), "old");
-  EXPECT_EQ(gsPickShare(route, 0.901), "new");
-  EXPECT_EQ(gsPickShare(route, 1.0), "new");
+  EXPECT_EQ(gsSelectService(route, 0.0), "old");
+  EXPECT_EQ(gsSelectService(route, 0.899), "old");
+  EXPECT_EQ(gsSelectService(route, 0.901), "new");
+  EXPECT_EQ(gsSelectService(route, 1.0), "new");
 }
 
-TEST(RouteTable, KeysBelongToOneOrganisation)
+TEST(RouteTable, FindsOrganisationByKey)
 {
   gsRouteTable table;
   table.Organisations = { { "club", { "k1", "k2" }, {} },
                           { "school", { "k3" }, 1 } };
   gsIndexRoutes(table);
-  ASSERT_NE(gsFindKey(table, "k2"), nullptr);
-  EXPECT_EQ(gsFindKey(table, "k2")->Name, "club");
-  EXPECT_EQ(gsFindKey(table, "k3")->Name, "school");
-  EXPECT_EQ(gsFindKey(table, "k4"), nullptr);
-  EXPECT_EQ(gsFindKey(table, ""), nullptr);
+  ASSERT_NE(gsFindOrganisationByKey(table, "k2"), nullptr);
+  EXPECT_EQ(gsFindOrganisationByKey(table, "k2")->Name, "club");
+  EXPECT_EQ(gsFindOrganisationByKey(table, "k3")->Name, "school");
+  EXPECT_EQ(gsFindOrganisationByKey(table, "k4"), nullptr);
+  EXPECT_EQ(gsFindOrganisationByKey(table, ""), nullptr);
 }
 
-TEST(RouteTable, ARequestIsNeverLessUrgentThanOneOfALowerRoute)
+TEST(RouteTable, UrgencyOrdersByRouteThenOrganisationPriority)
 {
   gsRouteTable table;
   table.Routes = { MakeRoute("lookup", "h", "/l/"),
@@ -80,42 +80,42 @@
   std::vector<std::uint32_t> urgencies;
   for (gsRoute const& route : table.Routes) {
     for (gsRouteOrganisation const& organisation : table.Organisations) {
-      urgencies.push_back(gsUrgencyOf(table, route, &organisation));
+      urgencies.push_back(gsRequestUrgency(table, route, &organisation));
     }
-    EXPECT_EQ(gsUrgencyOf(table, route, nullptr), urgencies.back());
+    EXPECT_EQ(gsRequestUrgency(table, route, nullptr), urgencies.back());
   }
   EXPECT_EQ(urgencies, (std::vector<std::uint32_t>{ 0, 1, 2, 3, 4, 5 }));
 }
 
-TEST(RouteTable, TheTightestPauseIsThatOfAllStreamsOfAService)
+TEST(RouteTable, MinEventIntervalTargetCoversStreamsOfSharedServices)
 {
   gsRouteTable table;
   table.Routes = { MakeRoute("review", "h", "/r/"),
                    MakeRoute("lookup", "h", "/l/"),
                    MakeRoute("plain", "h", "/p/") };
   for (gsRoute& route : table.Routes) {
-    route.Events = true;
+    route.StreamsEvents = true;
   }
-  table.Routes[0].GapTarget = gsMilliseconds(600);
-  table.Routes[1].GapTarget = gsMilliseconds(150);
-  table.Routes[2].Events = false;
+  table.Routes[0].EventIntervalTarget = gsMilliseconds(600);
+  table.Routes[1].EventIntervalTarget = gsMilliseconds(150);
+  table.Routes[2].StreamsEvents = false;
   gsIndexRoutes(table);
   for (gsRoute const& route : table.Routes) {
-    EXPECT_EQ(route.TightestGapTarget, gsMilliseconds(150));
+    EXPECT_EQ(route.MinEventIntervalTarget, gsMilliseconds(150));
   }
-  // Another service has its own; what is no stream has none.
+  // Routes of another service and routes without event streams do not count.
   table.Routes[1].Shares = { { "other", 1 } };
-  table.Routes[2].GapTarget = gsMilliseconds(10);
+  table.Routes[2].EventIntervalTarget = gsMilliseconds(10);
   gsIndexRoutes(table);
-  EXPECT_EQ(table.Routes[0].TightestGapTarget, gsMilliseconds(600));
-  EXPECT_EQ(table.Routes[1].TightestGapTarget, gsMilliseconds(150));
-  // One that goes to both services has the tighter of the two.
+  EXPECT_EQ(table.Routes[0].MinEventIntervalTarget, gsMilliseconds(600));
+  EXPECT_EQ(table.Routes[1].MinEventIntervalTarget, gsMilliseconds(150));
+  // A route to both services gets the smaller of the two targets.
   table.Routes[0].Shares.push_back({ "other", 1 });
   gsIndexRoutes(table);
-  EXPECT_EQ(table.Routes[0].TightestGapTarget, gsMilliseconds(150));
+  EXPECT_EQ(table.Routes[0].MinEventIntervalTarget, gsMilliseconds(150));
 }
 
-TEST(RouteTable, KindsOfOneServiceAreCountedByTheirUrgency)
+TEST(RouteTable, CountsDistinctHigherPrioritiesPerService)
 {
   gsRouteTable table;
   auto add = [&table](std::string const& name, std::uint32_t priority,
@@ -134,19 +134,20 @@
   add("more-tags", 5, { { "model", 1 } });
   add("lookup", 7, { { "plain", 1 } });
   gsIndexRoutes(table);
-  std::vector<std::uint32_t> kinds;
+  std::vector<std::uint32_t> counts;
   for (gsRoute const& route : table.Routes) {
     std::string const& service = route.Shares.front().Service;
-    kinds.push_back(gsMoreUrgentKinds(table, service, route));
+    counts.push_back(gsCountHigherPriorities(table, service, route));
   }
-  EXPECT_EQ(kinds, (std::vector<std::uint32_t>{ 0, 1, 2, 2, 0 }));
-  EXPECT_EQ(gsMoreUrgentKinds(table, "other", table.Routes[2]), 0U);
-  EXPECT_EQ(gsMoreUrgentKinds(table, "unknown", table.Routes[2]), 0U);
+  EXPECT_EQ(counts, (std::vector<std::uint32_t>{ 0, 1, 2, 2, 0 }));
+  EXPECT_EQ(gsCountHigherPriorities(table, "other", table.Routes[2]), 0U);
+  EXPECT_EQ(gsCountHigherPriorities(table, "unknown", table.Routes[2]), 0U);
 }
 
-// A route that is shared by two services meets other kinds at each of them;
-// at its engines only those count that use the same engines.
-TEST(RouteTable, KindsOfAPlainServiceKeepNoPlacesAtEngines)
+// Guards against counting the routes of a plain service at the engines of
+// another service. A route with two services competes with different routes at
+// each of them; at the engines only routes that use the same engines count.
+TEST(RouteTable, HigherPrioritiesOfPlainServiceDoNotCountAtEngines)
 {
   gsRouteTable table;
   auto add = [&table](std::string const& name, std::uint32_t priority,
@@ -165,6 +166,6 @@
   plain.Name = "plain";
   table.Services = { model, plain };
   gsIndexRoutes(table);
-  EXPECT_EQ(gsMoreUrgentKinds(table, "model", table.Routes[1]), 0U);
-  EXPECT_EQ(gsMoreUrgentKinds(table, "plain", table.Routes[1]), 1U);
+  EXPECT_EQ(gsCountHigherPriorities(table, "model", table.Routes[1]), 0U);
+  EXPECT_EQ(gsCountHigherPriorities(table, "plain", table.Routes[1]), 1U);
 }
--- a/Tests/Unit/gsTestScaling.cxx
+++ b/Tests/Unit/gsTestScaling.cxx
@@ -1,11 +1,11 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * Orders of upstreams against simulated days: waves, bursts of two to three
- * times the work, halls whose withdrawable upstreams are taken away in the
- * burst, and a change of the deciding host. The world has no network:
- * upstreams serve when their time to start is over, and what is asked for
- * beyond what they can do is lost.
+ * Tests of scaling decisions and orders. Scaling decisions are tested in
+ * simulations with periodic demand, bursts of two to three times the
+ * demand, withdrawal of a hall's withdrawable upstreams during a burst, and a
+ * change of the deciding host. The simulation has no network. Upstreams serve
+ * after their startup time, and demand above their capacity is lost.
  */
 #include <algorithm>
 #include <cmath>
@@ -22,12 +22,12 @@
 constexpr gsTime Tick = gsMilliseconds(200);
 constexpr std::size_t Halls = 4;
 
-gsScalingTerms Terms()
+gsScalingPolicy Terms()
 {
-  gsScalingTerms terms;
-  terms.Least = 1;
-  terms.Most = 56;
-  terms.Startup = gsSeconds(4);
+  gsScalingPolicy terms;
+  terms.MinPerHall = 1;
+  terms.MaxPerHall = 56;
+  terms.StartupTime = gsSeconds(4);
   terms.WithdrawablePrice = 0.22;
   terms.HallPrices = {
     { "a", 1.0 }, { "b", 0.8 }, { "c", 1.25 }, { "d", 0.9 }
@@ -35,44 +35,48 @@
   return terms;
 }
 
-/** A day: demand in engines over time, and what goes wrong. */
-struct Day
+/** Demand and failures of a simulation. */
+struct Scenario
 {
-  std::function<double(double second)> Demand;
-  /** Hall that loses its withdrawable upstreams, and when; none if empty. */
-  std::string Withdrawn;
-  double WithdrawnAt = 0;
-  double DryFor = 10;
-  double HandOverAt = -1; ///< Another host decides from then on.
+  std::function<double(double second)> Demand; ///< Busy engines.
+  /** Hall that loses its withdrawable upstreams; none if empty. */
+  std::string WithdrawnHall;
+  double WithdrawnAt = 0; ///< Time of the withdrawal, seconds.
+  /** Time after it without available withdrawable upstreams, seconds. */
+  double UnavailableFor = 10;
+  /** Time from which another host decides, seconds; negative for never. */
+  double HandoverAt = -1;
 };
 
-/** What a day has cost, and what it lost. */
+/** Cost and lost work of a simulation. */
 struct Outcome
 {
-  double Price = 0; ///< Upstream-seconds, by price.
-  double Lost = 0;  ///< Engine-seconds of work beyond what was there,
-  double Asked = 0; ///< of so many.
-  int Turns = 0;    ///< Changes of direction within the time to start.
-  std::uint32_t Least = 1000; ///< Upstreams that served, at the fewest.
+  double Price = 0;       ///< Upstream-seconds weighted by price.
+  double LostDemand = 0;  ///< Engine-seconds of demand above the capacity.
+  double TotalDemand = 0; ///< Engine-seconds of demand.
+  int Reversals = 0;      ///< Changes of direction within the startup time.
+  std::uint32_t MinServing = 1000; ///< Minimum number of serving upstreams.
 };
 
+/** An upstream that has been ordered and does not serve yet. */
 struct Starting
 {
-  gsScalingSubject Subject;
+  gsScalingPool Subject;
   gsTime At{};
 };
 
-class World
+/** Simulates a service with 28 regular upstreams in each hall. */
+class Simulation
 {
 public:
-  World(Day day, gsScalingSettings settings, bool scales)
-    : Plan(std::move(day))
+  Simulation(Scenario scenario, gsScalingSettings settings, bool isScaling)
+    : Simulated(std::move(scenario))
     , Settings(settings)
-    , Scales(scales)
+    , IsScaling(isScaling)
   {
     for (char hall = 'a'; hall < 'a' + static_cast<char>(Halls); ++hall) {
-      this->Serving[{ std::string(1, hall), false }] = 28;
-      this->Serving[{ std::string(1, hall), true }] = 0;
+      this->ServingCounts[{ std::string(1, hall), false }] = 28;
+      this->ServingCounts[{ std::string(1, hall), true }] = 0;
     }
   }
 
@@ -82,8 +86,8 @@
          this->Now += Tick) {
       this->Start();
       this->Withdraw();
-      this->Account();
-      if (this->Scales) {
+      this->AccountTick();
+      if (this->IsScaling) {
         this->Decide();
       }
     }
@@ -95,214 +99,232 @@
 
   void Start()
   {
-    while (!this->Coming.empty() && this->Coming.front().At <= this->Now) {
-      ++this->Serving[this->Coming.front().Subject];
-      this->Coming.pop_front();
+    while (!this->StartingUpstreams.empty() &&
+           this->StartingUpstreams.front().At <= this->Now) {
+      ++this->ServingCounts[this->StartingUpstreams.front().Subject];
+      this->StartingUpstreams.pop_front();
     }
   }
 
   void Withdraw()
   {
-    bool now = !this->Plan.Withdrawn.empty() && !this->Taken &&
-               this->Second() >= this->Plan.WithdrawnAt;
-    if (now) {
-      this->Taken = true;
-      this->Serving[{ this->Plan.Withdrawn, true }] = 0;
+    bool isDue = !this->Simulated.WithdrawnHall.empty() &&
+                 !this->IsWithdrawn &&
+                 this->Second() >= this->Simulated.WithdrawnAt;
+    if (isDue) {
+      this->IsWithdrawn = true;
+      this->ServingCounts[{ this->Simulated.WithdrawnHall, true }] = 0;
     }
   }
 
-  bool IsDry(gsScalingSubject const& subject) const
+  bool IsUnavailable(gsScalingPool const& subject) const
   {
-    return this->Taken && subject.Withdrawable &&
-           subject.Hall == this->Plan.Withdrawn &&
-           this->Second() < this->Plan.WithdrawnAt + this->Plan.DryFor;
+    return this->IsWithdrawn && subject.Withdrawable &&
+           subject.Hall == this->Simulated.WithdrawnHall &&
+           this->Second() <
+             this->Simulated.WithdrawnAt + this->Simulated.UnavailableFor;
   }
 
-  void Account()
+  void AccountTick()
   {
-    gsScalingTerms terms = Terms();
-    double step = gsToSeconds(Tick);
+    gsScalingPolicy terms = Terms();
+    double tickSeconds = gsToSeconds(Tick);
     std::uint32_t serving = 0;
-    for (auto const& [subject, count] : this->Serving) {
+    for (auto const& [subject, count] : this->ServingCounts) {
       serving += count;
-      double each = terms.HallPrices[subject.Hall] *
-                    (subject.Withdrawable ? terms.WithdrawablePrice : 1);
-      this->Result.Price += each * count * step;
+      double unitPrice = terms.HallPrices[subject.Hall] *
+                         (subject.Withdrawable ? terms.WithdrawablePrice : 1);
+      this->Result.Price += unitPrice * count * tickSeconds;
     }
-    // An engine that is busier than this holds streams up for too long.
-    constexpr double useful = 0.7;
-    double demand = this->Plan.Demand(this->Second());
-    this->Result.Asked += demand * step;
-    this->Result.Lost += std::max(0.0, demand - useful * serving) * step;
-    this->Result.Least = std::min(this->Result.Least, serving);
+    // Above this utilisation, an engine delays streams for too long.
+    constexpr double maxUtilisation = 0.7;
+    double demand = this->Simulated.Demand(this->Second());
+    this->Result.TotalDemand += demand * tickSeconds;
+    this->Result.LostDemand +=
+      std::max(0.0, demand - maxUtilisation * serving) * tickSeconds;
+    this->Result.MinServing = std::min(this->Result.MinServing, serving);
   }
 
   void Decide()
   {
-    if (this->Plan.HandOverAt >= 0 && !this->HandedOver &&
-        this->Second() >= this->Plan.HandOverAt) {
-      this->HandedOver = true;
+    if (this->Simulated.HandoverAt >= 0 && !this->IsHandedOver &&
+        this->Second() >= this->Simulated.HandoverAt) {
+      this->IsHandedOver = true;
       this->Scaling = gsScaling{};
-      this->Ordered.clear();
+      this->OrderedCounts.clear();
     }
-    // Decisions see the work of the last second or two.
-    double seen = this->Plan.Demand(std::max(0.0, this->Second() - 1));
-    gsScalingCounts wanted =
-      gsScalingDecide(this->Scaling, this->Settings, Terms(), this->Serving,
-                      seen, this->Now + gsSeconds(1));
-    this->NoteTurns();
+    // Decisions use demand data of the last second or two.
+    double recentDemand =
+      this->Simulated.Demand(std::max(0.0, this->Second() - 1));
+    gsScalingCounts wanted = gsScalingDecide(
+      this->Scaling, this->Settings, Terms(), this->ServingCounts,
+      recentDemand, this->Now + gsSeconds(1));
+    this->RecordReversals();
     for (auto const& [subject, count] : wanted) {
       this->Order(subject, count);
     }
   }
 
-  void NoteTurns()
+  void RecordReversals()
   {
-    int direction = this->Scaling.Total > this->LastTotal   ? 1
-                    : this->Scaling.Total < this->LastTotal ? -1
-                                                            : 0;
+    int direction = this->Scaling.WantedTotal > this->LastTotal   ? 1
+                    : this->Scaling.WantedTotal < this->LastTotal ? -1
+                                                                  : 0;
     if (direction == 0) {
       return;
     }
-    bool turns = this->LastTotal != 0 && direction != this->Direction &&
-                 this->Now - this->TurnedAt < Terms().Startup;
-    this->Result.Turns += turns ? 1 : 0;
+    bool isReversal =
+      this->LastTotal != 0 && direction != this->Direction &&
+      this->Now - this->DirectionChangedAt < Terms().StartupTime;
+    this->Result.Reversals += isReversal ? 1 : 0;
     this->Direction = direction;
-    this->TurnedAt = this->Now;
-    this->LastTotal = this->Scaling.Total;
+    this->DirectionChangedAt = this->Now;
+    this->LastTotal = this->Scaling.WantedTotal;
   }
 
-  void Order(gsScalingSubject const& subject, std::uint32_t count)
+  void Order(gsScalingPool const& subject, std::uint32_t count)
   {
-    auto last = this->Ordered.find(subject);
-    std::uint32_t& serving = this->Serving[subject];
-    std::uint32_t coming = 0;
-    for (Starting const& starting : this->Coming) {
+    auto previous = this->OrderedCounts.find(subject);
+    std::uint32_t& serving = this->ServingCounts[subject];
+    std::uint32_t startingCount = 0;
+    for (Starting const& starting : this->StartingUpstreams) {
       bool same = starting.Subject.Hall == subject.Hall &&
                   starting.Subject.Withdrawable == subject.Withdrawable;
-      coming += same ? 1 : 0;
+      startingCount += same ? 1 : 0;
     }
-    bool changed = last == this->Ordered.end() || last->second != count;
-    if (!changed && serving + coming >= count) {
+    bool changed =
+      previous == this->OrderedCounts.end() || previous->second != count;
+    if (!changed && serving + startingCount >= count) {
       return;
     }
-    if (this->IsDry(subject) && count > serving) {
-      gsScalingNoteDry(this->Scaling, this->Settings, subject.Hall,
-                       this->Now + gsSeconds(1));
+    if (this->IsUnavailable(subject) && count > serving) {
+      gsScalingRecordUnavailable(this->Scaling, this->Settings, subject.Hall,
+                                 this->Now + gsSeconds(1));
       return;
     }
-    this->Ordered[subject] = count;
-    for (std::uint32_t i = serving + coming; i < count; ++i) {
-      this->Coming.push_back({ subject, this->Now + Terms().Startup });
+    this->OrderedCounts[subject] = count;
+    for (std::uint32_t i = serving + startingCount; i < count; ++i) {
+      this->StartingUpstreams.push_back(
+        { subject, this->Now + Terms().StartupTime });
     }
     serving = std::min(serving, count);
   }
 
-  Day Plan;
+  Scenario Simulated;
   gsScalingSettings Settings;
-  bool Scales;
+  bool IsScaling;
   gsScaling Scaling;
-  gsScalingCounts Serving;
-  gsScalingCounts Ordered;
-  std::deque<Starting> Coming;
+  gsScalingCounts ServingCounts;
+  gsScalingCounts OrderedCounts;
+  std::deque<Starting> StartingUpstreams;
   Outcome Result;
   gsTime Now{};
-  bool Taken = false;
-  bool HandedOver = false;
+  bool IsWithdrawn = false;
+  bool IsHandedOver = false;
   std::uint32_t LastTotal = 0;
   int Direction = 0;
-  gsTime TurnedAt{};
+  gsTime DirectionChangedAt{};
 };
 
 constexpr double Pi = 3.14159265358979;
-/** Nothing is asked for while the hosts start. */
-constexpr double Begin = 14;
-constexpr double Length = 60;
-
-/** Waves of 11 s; bursts of 2.4 to 2.8 times the work at three moments. */
-double Bursts(double second, double mean)
+/** Start of the demand, seconds: there is none while the hosts start. */
+constexpr double DemandStart = 14;
+/** Duration of a simulation, seconds. */
+constexpr double Duration = 60;
+
+/** Demand with a period of 11 s and three bursts of 2.8, 1.6 and 2.4 times the
+ * mean. */
+double BurstDemand(double second, double mean)
 {
-  if (second < Begin) {
+  if (second < DemandStart) {
     return 0;
   }
-  double at = second - Begin;
-  double wave = 1 + 0.27 * std::sin(2 * Pi * at / 11);
-  bool first = at >= 1.7 && at < 10.7;
-  bool second2 = at >= 12.2 && at < 17.2;
-  bool third = at >= 18.7 && at < 24.7;
-  double burst = first ? 2.8 : second2 ? 1.6 : third ? 2.4 : 1;
+  double elapsed = second - DemandStart;
+  double wave = 1 + 0.27 * std::sin(2 * Pi * elapsed / 11);
+  bool isFirstBurst = elapsed >= 1.7 && elapsed < 10.7;
+  bool isSecondBurst = elapsed >= 12.2 && elapsed < 17.2;
+  bool isThirdBurst = elapsed >= 18.7 && elapsed < 24.7;
+  double burst = isFirstBurst    ? 2.8
+                 : isSecondBurst ? 1.6
+                 : isThirdBurst  ? 2.4
+                                 : 1;
   return mean * wave * burst;
 }
 
-Day BurstDay(double mean)
+Scenario BurstScenario(double mean)
 {
-  Day day;
-  day.Demand = [mean](double second) { return Bursts(second, mean); };
-  return day;
+  Scenario scenario;
+  scenario.Demand = [mean](double second) {
+    return BurstDemand(second, mean);
+  };
+  return scenario;
 }
 
-Outcome Play(Day const& day, bool scales = true,
-             gsScalingSettings const& settings = {})
+Outcome RunScenario(Scenario const& scenario, bool isScaling = true,
+                    gsScalingSettings const& settings = {})
 {
-  return World(day, settings, scales).Run(Length);
+  return Simulation(scenario, settings, isScaling).Run(Duration);
 }
 
 } // namespace
 
-TEST(Scaling, WithdrawableUpstreamsCostLessAndLoseLess)
+TEST(Scaling, ReducesCostAndLossWithWithdrawableUpstreams)
 {
   for (double mean : { 30.0, 50.0, 70.0 }) {
-    Outcome fixed = Play(BurstDay(mean), false);
-    Outcome scaled = Play(BurstDay(mean));
+    Outcome fixed = RunScenario(BurstScenario(mean), false);
+    Outcome scaled = RunScenario(BurstScenario(mean));
     EXPECT_LT(scaled.Price, 0.8 * fixed.Price) << mean;
-    EXPECT_LE(scaled.Lost, fixed.Lost + 1e-9) << mean;
+    EXPECT_LE(scaled.LostDemand, fixed.LostDemand + 1e-9) << mean;
     RecordProperty("price_" + std::to_string(static_cast<int>(mean)),
                    std::to_string(scaled.Price / fixed.Price));
   }
 }
 
-TEST(Scaling, WithoutWithdrawableUpstreamsLessIsOrderedWhereLessIsAsked)
+TEST(Scaling, OrdersFewerRegularUpstreamsWhenDemandIsLow)
 {
   gsScalingSettings settings;
-  settings.WithdrawableShare = 0;
-  Day calm;
-  calm.Demand = [](double second) { return second < Begin ? 0 : 20.0; };
-  Outcome fixed = Play(calm, false);
-  Outcome scaled = Play(calm, true, settings);
+  settings.MaxWithdrawableShare = 0;
+  Scenario steady;
+  steady.Demand = [](double second) {
+    return second < DemandStart ? 0 : 20.0;
+  };
+  Outcome fixed = RunScenario(steady, false);
+  Outcome scaled = RunScenario(steady, true, settings);
   EXPECT_LT(scaled.Price, fixed.Price);
-  EXPECT_EQ(scaled.Lost, 0);
+  EXPECT_EQ(scaled.LostDemand, 0);
 }
 
-TEST(Scaling, AHallThatIsWithdrawnInABurstIsMadeUpFor)
+TEST(Scaling, CompensatesForHallWithdrawnDuringBurst)
 {
-  Day day = BurstDay(40);
-  day.Withdrawn = "b";
-  day.WithdrawnAt = Begin + 8.7;
-  Outcome fixed = Play(BurstDay(40), false);
-  Outcome scaled = Play(day);
-  EXPECT_LT(scaled.Lost, 0.02 * scaled.Asked);
+  Scenario scenario = BurstScenario(40);
+  scenario.WithdrawnHall = "b";
+  scenario.WithdrawnAt = DemandStart + 8.7;
+  Outcome fixed = RunScenario(BurstScenario(40), false);
+  Outcome scaled = RunScenario(scenario);
+  EXPECT_LT(scaled.LostDemand, 0.02 * scaled.TotalDemand);
   EXPECT_LT(scaled.Price, 0.8 * fixed.Price);
 }
 
-TEST(Scaling, DirectionTurnsAtMostOnceInTheTimeToStart)
+TEST(Scaling, DoesNotReverseWithinStartupTime)
 {
   for (double mean : { 10.0, 25.0, 50.0, 80.0 }) {
-    EXPECT_EQ(Play(BurstDay(mean)).Turns, 0) << mean;
+    EXPECT_EQ(RunScenario(BurstScenario(mean)).Reversals, 0) << mean;
   }
 }
 
-TEST(Scaling, ANewHolderGoesByWhatIsListed)
+TEST(Scaling, ContinuesFromListedUpstreamsWhenDecidingHostChanges)
 {
-  Day day = BurstDay(40);
-  day.HandOverAt = Begin + 6;
-  Outcome handed = Play(day);
-  Outcome kept = Play(BurstDay(40));
-  EXPECT_LT(handed.Lost, kept.Lost + 0.01 * kept.Asked);
-  EXPECT_LT(handed.Price, 1.2 * kept.Price);
-  EXPECT_GE(handed.Least, 56U);
+  Scenario scenario = BurstScenario(40);
+  scenario.HandoverAt = DemandStart + 6;
+  Outcome handedOver = RunScenario(scenario);
+  Outcome unchanged = RunScenario(BurstScenario(40));
+  EXPECT_LT(handedOver.LostDemand,
+            unchanged.LostDemand + 0.01 * unchanged.TotalDemand);
+  EXPECT_LT(handedOver.Price, 1.2 * unchanged.Price);
+  EXPECT_GE(handedOver.MinServing, 56U);
 }
 
-TEST(Scaling, WhatIsLeftWhenAHallIsLostBearsTheDemand)
+TEST(Scaling, KeepsEnoughUpstreamsWhenAHallIsLost)
 {
   gsScaling scaling;
   gsScalingCounts listed;
@@ -333,71 +355,77 @@
 namespace {
 
 constexpr gsTime Startup = gsSeconds(4);
-constexpr gsTime Long = gsSeconds(60);
+constexpr gsTime Later = gsSeconds(60);
 
-/** An order that was given long ago and answered. */
-gsScalingOrder Standing(std::uint32_t count)
+/** An order that was placed long ago and answered. */
+gsScalingOrder MakePlacedOrder(std::uint32_t count)
 {
   gsScalingOrder order;
-  gsScalingGive(order, count, 7, gsSeconds(10));
-  order.Answered = true;
+  gsScalingRecordOrder(order, count, 7, gsSeconds(10));
+  order.IsAnswered = true;
   return order;
 }
 
 } // namespace
 
-TEST(ScalingOrder, SmallDifferencesAreNotOrdered)
+TEST(ScalingOrder, IgnoresSmallDifferences)
 {
-  EXPECT_TRUE(gsScalingIsNear(28, 30));
-  EXPECT_FALSE(gsScalingIsNear(28, 31));
-  EXPECT_FALSE(gsScalingIsNear(3, 4));
-  gsScalingOrder order = Standing(28);
-  EXPECT_FALSE(gsScalingIsDue(order, 30, 30, Startup, 8, Long));
-  EXPECT_TRUE(gsScalingIsDue(order, 40, 28, Startup, 8, Long));
+  EXPECT_TRUE(gsScalingIsNegligibleChange(28, 30));
+  EXPECT_FALSE(gsScalingIsNegligibleChange(28, 31));
+  EXPECT_FALSE(gsScalingIsNegligibleChange(3, 4));
+  gsScalingOrder order = MakePlacedOrder(28);
+  EXPECT_FALSE(gsScalingOrderIsDue(order, 30, 30, Startup, 8, Later));
+  EXPECT_TRUE(gsScalingOrderIsDue(order, 40, 28, Startup, 8, Later));
 }
 
-TEST(ScalingOrder, WhatHasCrashedHasTimeToComeBack)
+TEST(ScalingOrder, WaitsForCrashedUpstreamsToRestart)
 {
-  gsScalingOrder order = Standing(45);
-  EXPECT_FALSE(gsScalingIsDue(order, 45, 36, Startup, 8, Long));
-  EXPECT_FALSE(gsScalingIsDue(order, 45, 36, Startup, 8, Long + gsSeconds(6)));
-  EXPECT_TRUE(gsScalingIsDue(order, 45, 36, Startup, 8, Long + gsSeconds(7)));
+  gsScalingOrder order = MakePlacedOrder(45);
+  EXPECT_FALSE(gsScalingOrderIsDue(order, 45, 36, Startup, 8, Later));
+  EXPECT_FALSE(
+    gsScalingOrderIsDue(order, 45, 36, Startup, 8, Later + gsSeconds(6)));
+  EXPECT_TRUE(
+    gsScalingOrderIsDue(order, 45, 36, Startup, 8, Later + gsSeconds(7)));
 }
 
-TEST(ScalingOrder, WhatStartsIsWaitedFor)
+TEST(ScalingOrder, WaitsForStartingUpstreams)
 {
   gsScalingOrder order;
-  EXPECT_TRUE(gsScalingIsDue(order, 28, 0, Startup, 7, gsSeconds(10)));
-  gsScalingGive(order, 28, 7, gsSeconds(10));
-  order.Answered = true;
-  EXPECT_FALSE(gsScalingIsDue(order, 28, 0, Startup, 8, gsSeconds(11)));
-  EXPECT_FALSE(gsScalingIsDue(order, 28, 0, Startup, 8, gsSeconds(17)));
-  EXPECT_TRUE(gsScalingIsDue(order, 28, 0, Startup, 8, gsSeconds(18)));
+  EXPECT_TRUE(gsScalingOrderIsDue(order, 28, 0, Startup, 7, gsSeconds(10)));
+  gsScalingRecordOrder(order, 28, 7, gsSeconds(10));
+  order.IsAnswered = true;
+  EXPECT_FALSE(gsScalingOrderIsDue(order, 28, 0, Startup, 8, gsSeconds(11)));
+  EXPECT_FALSE(gsScalingOrderIsDue(order, 28, 0, Startup, 8, gsSeconds(17)));
+  EXPECT_TRUE(gsScalingOrderIsDue(order, 28, 0, Startup, 8, gsSeconds(18)));
 }
 
-TEST(ScalingOrder, AnUnansweredOrderIsFollowedWithAHigherTokenOnly)
+TEST(ScalingOrder, ReplacesUnansweredOrderOnlyWithHigherToken)
 {
   gsScalingOrder order;
-  gsScalingGive(order, 28, 7, gsSeconds(10));
-  EXPECT_FALSE(gsScalingIsDue(order, 40, 0, Startup, 7, gsSeconds(12)));
-  EXPECT_TRUE(gsScalingIsDue(order, 40, 0, Startup, 8, gsSeconds(12)));
+  gsScalingRecordOrder(order, 28, 7, gsSeconds(10));
+  EXPECT_FALSE(gsScalingOrderIsDue(order, 40, 0, Startup, 7, gsSeconds(12)));
+  EXPECT_TRUE(gsScalingOrderIsDue(order, 40, 0, Startup, 8, gsSeconds(12)));
 }
 
-// Orders of a hall that is dry, wet for a moment and dry again: in a replay of
-// two halls that are taken away together, 40 upstreams were ordered, taken
-// back before they served, and ordered anew.
-TEST(ScalingOrder, WhatHasJustBeenOrderedIsNotTakenBack)
+// Guards against oscillating orders in a hall in which withdrawable upstreams
+// are available only for a moment: in a replay of the simultaneous withdrawal
+// of two halls, 40 upstreams were ordered, cancelled before they served, and
+// ordered again.
+TEST(ScalingOrder, DoesNotRevertRecentIncrease)
 {
-  gsScalingOrder order = Standing(11);
-  gsScalingGive(order, 51, 8, Long);
-  order.Answered = true;
-  EXPECT_FALSE(gsScalingIsDue(order, 11, 11, Startup, 9, Long + gsSeconds(3)));
-  EXPECT_FALSE(gsScalingIsDue(order, 11, 51, Startup, 9, Long + gsSeconds(6)));
-  EXPECT_TRUE(gsScalingIsDue(order, 11, 51, Startup, 9, Long + gsSeconds(8)));
-  // Fewer after fewer is no turn.
-  gsScalingOrder less = Standing(28);
-  gsScalingGive(less, 20, 8, Long);
-  less.Answered = true;
+  gsScalingOrder order = MakePlacedOrder(11);
+  gsScalingRecordOrder(order, 51, 8, Later);
+  order.IsAnswered = true;
+  EXPECT_FALSE(
+    gsScalingOrderIsDue(order, 11, 11, Startup, 9, Later + gsSeconds(3)));
+  EXPECT_FALSE(
+    gsScalingOrderIsDue(order, 11, 51, Startup, 9, Later + gsSeconds(6)));
   EXPECT_TRUE(
-    gsScalingIsDue(less, 10, 20, Startup, 9, Long + gsMilliseconds(400)));
+    gsScalingOrderIsDue(order, 11, 51, Startup, 9, Later + gsSeconds(8)));
+  // A decrease after a decrease is not a reversal.
+  gsScalingOrder less = MakePlacedOrder(28);
+  gsScalingRecordOrder(less, 20, 8, Later);
+  less.IsAnswered = true;
+  EXPECT_TRUE(gsScalingOrderIsDue(less, 10, 20, Startup, 9,
+                                  Later + gsMilliseconds(400)));
 }
--- a/Tests/Unit/gsTestSettings.cxx
+++ b/Tests/Unit/gsTestSettings.cxx
@@ -1,8 +1,9 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
 /**
  * \file
- * Messages for settings and configuration files: each file of Tests/Cases is
- * read and what is said of it compared with the text beside it.
+ * Tests the validation of settings and configuration files: the message for
+ * each JSON file in Tests/Cases is compared with the text file of the same
+ * name.
  */
 #include <gtest/gtest.h>
 
@@ -25,7 +26,7 @@
   return text.str();
 }
 
-std::vector<fs::path> Cases(std::string const& feature)
+std::vector<fs::path> CaseFiles(std::string const& feature)
 {
   std::vector<fs::path> files;
   for (auto const& entry :
@@ -38,33 +39,33 @@
 }
 
 template<typename Result>
-void Compare(fs::path const& path, Result const& result)
+void ExpectMessage(fs::path const& path, Result const& result)
 {
-  std::string said = result ? "valid" : result.error().Message;
+  std::string message = result ? "valid" : result.error().Message;
   fs::path expected = path;
   expected.replace_extension(".txt");
-  EXPECT_EQ(said + "\n", ReadFile(expected)) << path;
+  EXPECT_EQ(message + "\n", ReadFile(expected)) << path;
 }
 
 } // namespace
 
-TEST(Settings, MessagesAreAsExpected)
+TEST(Settings, MessagesMatchExpectedText)
 {
-  std::vector<fs::path> files = Cases("Settings");
+  std::vector<fs::path> files = CaseFiles("Settings");
   EXPECT_GE(files.size(), 17U);
   for (fs::path const& path : files) {
-    Compare(path,
-            gsSettingsFromText(ReadFile(path), path.filename().string()));
+    ExpectMessage(
+      path, gsSettingsFromText(ReadFile(path), path.filename().string()));
   }
 }
 
-TEST(Check, MessagesAreAsExpected)
+TEST(Check, MessagesMatchExpectedText)
 {
-  std::vector<fs::path> files = Cases("Check");
+  std::vector<fs::path> files = CaseFiles("Check");
   EXPECT_GE(files.size(), 9U);
   for (fs::path const& path : files) {
-    Compare(path,
-            gsDocumentFromText(ReadFile(path), path.filename().string()));
+    ExpectMessage(
+      path, gsDocumentFromText(ReadFile(path), path.filename().string()));
   }
 }
 
@@ -90,14 +91,14 @@
   EXPECT_GE(checked, 4);
 }
 
-TEST(Settings, RandomInputGivesAnErrorOrSettings)
+TEST(Settings, RandomInputIsParsedOrRejected)
 {
-  std::string const good =
+  std::string const valid =
     ReadFile(fs::path(GRADESCALE_CASES) / "Settings" / "Valid.json");
   gsRandom random(11);
   int errors = 0;
   for (int round = 0; round < 3000; ++round) {
-    std::string text = good;
+    std::string text = valid;
     std::size_t edits = 1 + random() % 4;
     for (std::size_t i = 0; i < edits; ++i) {
       text[random() % text.size()] = static_cast<char>(random() % 256);
--- a/Tests/Unit/gsTestUpstreamText.cxx
+++ b/Tests/Unit/gsTestUpstreamText.cxx
@@ -1,5 +1,5 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
-/** \file The form in which hosts tell each other an upstream. */
+/** \file Tests the compact text format of upstreams. */
 #include <gtest/gtest.h>
 
 #include "gsFleetCases.h"
@@ -9,64 +9,67 @@
 
 namespace {
 
-gsListedUpstream Full()
+gsListedUpstream MakeUpstream()
 {
-  gsListedUpstream upstream = Listed("i-7f3a91c2", "bkk-a");
-  upstream.Born = 1'796'266'000'123;
+  gsListedUpstream upstream = MakeListed("i-7f3a91c2", "bkk-a");
+  upstream.StartedAt = 1'796'266'000'123;
   upstream.Slots = 32;
   upstream.Leaving = true;
   upstream.Withdrawable = true;
-  upstream.ColdLeft = gsMilliseconds(2'400);
+  upstream.RemainingColdTime = gsMilliseconds(2'400);
   return upstream;
 }
 
 } // namespace
 
-TEST(UpstreamText, AllThatIsListedComesBack)
+TEST(UpstreamText, RoundTripPreservesAllFields)
 {
-  gsListedUpstream const told = Full();
-  std::string const text = gsUpstreamText(told);
+  gsListedUpstream const upstream = MakeUpstream();
+  std::string const text = gsUpstreamText(upstream);
   EXPECT_LE(text.size(), 80U);
   EXPECT_TRUE(gsIsUpstreamText(text));
-  std::optional<gsListedUpstream> read = gsReadUpstreamText(told.Id, text);
+  std::optional<gsListedUpstream> read =
+    gsParseUpstreamText(upstream.Id, text);
   ASSERT_TRUE(read.has_value());
-  EXPECT_EQ(read->Id, told.Id);
-  EXPECT_EQ(read->Born, told.Born);
-  EXPECT_EQ(read->Service, told.Service);
-  EXPECT_EQ(read->Address, told.Address);
-  EXPECT_EQ(read->Hall, told.Hall);
-  EXPECT_EQ(read->Slots, told.Slots);
-  EXPECT_EQ(read->Leaving, told.Leaving);
-  EXPECT_EQ(read->Withdrawable, told.Withdrawable);
-  EXPECT_EQ(read->ColdLeft, told.ColdLeft);
+  EXPECT_EQ(read->Id, upstream.Id);
+  EXPECT_EQ(read->StartedAt, upstream.StartedAt);
+  EXPECT_EQ(read->Service, upstream.Service);
+  EXPECT_EQ(read->Address, upstream.Address);
+  EXPECT_EQ(read->Hall, upstream.Hall);
+  EXPECT_EQ(read->Slots, upstream.Slots);
+  EXPECT_EQ(read->Leaving, upstream.Leaving);
+  EXPECT_EQ(read->Withdrawable, upstream.Withdrawable);
+  EXPECT_EQ(read->RemainingColdTime, upstream.RemainingColdTime);
 }
 
-TEST(UpstreamText, NamesThatWouldEndAFieldHaveNoText)
+TEST(UpstreamText, EmptyWhenNameContainsSeparator)
 {
-  gsListedUpstream upstream = Full();
+  gsListedUpstream upstream = MakeUpstream();
   upstream.Service = "a\tb";
   EXPECT_EQ(gsUpstreamText(upstream), "");
 }
 
-// Fixed seeds: each text is one that was told, with a few signs changed.
-TEST(UpstreamText, ATornTextNamesNoneOrAWholeOne)
+// Mutates a valid text with a fixed seed: one byte is replaced, and every
+// third text is truncated. The parser must reject a text or return only
+// upstreams that can be formatted, unless a name is empty.
+TEST(UpstreamText, ParsesMutatedTextCompletelyOrNotAtAll)
 {
   gsRandom random(5);
-  std::string const whole = gsUpstreamText(Full());
-  std::uniform_int_distribution<std::size_t> at(0, whole.size() - 1);
-  std::uniform_int_distribution<int> sign(0, 255);
+  std::string const valid = gsUpstreamText(MakeUpstream());
+  std::uniform_int_distribution<std::size_t> position(0, valid.size() - 1);
+  std::uniform_int_distribution<int> byte(0, 255);
   for (int i = 0; i < 20'000; ++i) {
-    std::string text = whole;
-    text[at(random)] = static_cast<char>(sign(random));
+    std::string text = valid;
+    text[position(random)] = static_cast<char>(byte(random));
     if (i % 3 == 0) {
-      text.resize(at(random));
+      text.resize(position(random));
     }
-    std::optional<gsListedUpstream> read = gsReadUpstreamText("u", text);
+    std::optional<gsListedUpstream> read = gsParseUpstreamText("u", text);
     if (read) {
       EXPECT_EQ(gsUpstreamText(*read).empty(), read->Service.empty() ||
                                                  read->Address.empty() ||
                                                  read->Hall.empty());
     }
   }
-  EXPECT_FALSE(gsReadUpstreamText("u", R"({"service":"m"})"));
+  EXPECT_FALSE(gsParseUpstreamText("u", R"({"service":"m"})"));
 }
--- a/Tests/Unit/gsTestWatchDuty.cxx
+++ b/Tests/Unit/gsTestWatchDuty.cxx
@@ -1,5 +1,5 @@
 /* Distributed under the BSD 3-Clause License. See LICENSE for details. */
-/** \file Who watches the platform for a hall. */
+/** \file Which hosts watch the platform's tables for their hall. */
 #include <algorithm>
 #include <string>
 
@@ -21,14 +21,14 @@
   return names;
 }
 
-/** A duty of the first host that is not assigned. */
-gsWatchDuty NotAssigned(std::vector<std::string> const& names)
+/** The state of the first host that is not assigned. */
+gsWatchDuty FirstUnassigned(std::vector<std::string> const& names)
 {
   gsWatchDuty duty;
   for (std::string const& name : names) {
     duty = gsWatchDuty();
     duty.Self = name;
-    if (gsDutyDecide(duty, names, names.size(), Begin) !=
+    if (gsUpdateWatchState(duty, names, names.size(), Begin) !=
         gsWatchState::Assigned) {
       break;
     }
@@ -36,7 +36,7 @@
   return duty;
 }
 
-/** A duty for each host, all of them covered until now. */
+/** The states of all hosts, each of them covered. */
 std::vector<gsWatchDuty> AllCovered(std::vector<std::string> const& names)
 {
   std::vector<gsWatchDuty> duties(names.size());
@@ -46,10 +46,11 @@
   return duties;
 }
 
-std::string FirstAssigned(std::vector<std::string> const& names)
+/** Name of the assigned host; empty if there is none. */
+std::string AssignedHost(std::vector<std::string> const& names)
 {
   for (gsWatchDuty& duty : AllCovered(names)) {
-    if (gsDutyDecide(duty, names, names.size(), Begin) ==
+    if (gsUpdateWatchState(duty, names, names.size(), Begin) ==
         gsWatchState::Assigned) {
       return duty.Self;
     }
@@ -67,7 +68,7 @@
 
 } // namespace
 
-TEST(WatchDuty, OneHostIsAssignedHoweverLargeTheHall)
+TEST(WatchDuty, OneHostIsAssignedRegardlessOfHallSize)
 {
   for (int size : { 1, 2, 3, 20, 57 }) {
     std::vector<std::string> names = Names(size);
@@ -75,147 +76,151 @@
     for (std::string const& name : names) {
       gsWatchDuty duty;
       duty.Self = name;
-      bool is = gsDutyDecide(duty, names, names.size(), Begin) ==
-                gsWatchState::Assigned;
-      assigned += is ? 1 : 0;
+      bool isAssigned = gsUpdateWatchState(duty, names, names.size(), Begin) ==
+                        gsWatchState::Assigned;
+      assigned += isAssigned ? 1 : 0;
     }
     EXPECT_EQ(assigned, 1) << size;
   }
 }
 
-TEST(WatchDuty, AHostStopsWatchingOnceItIsCoveredForAWhile)
+TEST(WatchDuty, HostStopsWatchingAfterStopDelayWhenCovered)
 {
   std::vector<std::string> names = Names(10);
-  gsWatchDuty duty = NotAssigned(names);
-  // Its turn to watch without being assigned comes at the latest then.
-  gsTime start = Begin + duty.Settings.Step * 10;
-  gsDutyDecide(duty, names, names.size(), start);
+  gsWatchDuty duty = FirstUnassigned(names);
+  // At this time, an unassigned host of any rank has started to watch.
+  gsTime start = Begin + duty.Settings.TakeoverInterval * 10;
+  gsUpdateWatchState(duty, names, names.size(), start);
   gsTime now = start;
   EXPECT_EQ(duty.State, gsWatchState::Uncovered);
-  std::string watcher = FirstAssigned(names);
+  std::string watcher = AssignedHost(names);
   for (int i = 0; i < 12; ++i) {
     now += gsMilliseconds(50);
-    gsDutyHear(duty, watcher, gsMilliseconds(500), false, now);
-    gsWatchState state = gsDutyDecide(duty, names, names.size(), now);
+    gsApplyWatcherReport(duty, watcher, gsMilliseconds(500), false, now);
+    gsWatchState state = gsUpdateWatchState(duty, names, names.size(), now);
     gsTime covered = now - start - gsMilliseconds(50);
-    bool early = covered < duty.Settings.Settle;
-    EXPECT_EQ(state == gsWatchState::Uncovered, early) << i;
+    bool stillWatches = covered < duty.Settings.StopDelay;
+    EXPECT_EQ(state == gsWatchState::Uncovered, stillWatches) << i;
   }
   EXPECT_EQ(duty.State, gsWatchState::Covered);
 }
 
-TEST(WatchDuty, ASilentOrBlindWatcherCoversNobody)
+TEST(WatchDuty, HostIsUncoveredWhenWatcherIsSilentOrItsTablesAreOld)
 {
   std::vector<std::string> names = Names(10);
-  gsWatchDuty duty = NotAssigned(names);
+  gsWatchDuty duty = FirstUnassigned(names);
   duty.State = gsWatchState::Covered;
-  gsDutyHear(duty, "w", gsMilliseconds(100), false, Begin);
-  gsTime silent = Begin + duty.Settings.Patience + gsMilliseconds(1);
-  EXPECT_EQ(gsDutyDecide(duty, names, names.size(), silent),
+  gsApplyWatcherReport(duty, "w", gsMilliseconds(100), false, Begin);
+  gsTime silent = Begin + duty.Settings.WatcherTimeout + gsMilliseconds(1);
+  EXPECT_EQ(gsUpdateWatchState(duty, names, names.size(), silent),
             gsWatchState::Uncovered);
 
   duty.State = gsWatchState::Covered;
-  gsDutyHear(duty, "w", duty.Settings.MostAge + gsMilliseconds(1), false,
-             silent);
-  EXPECT_EQ(gsDutyDecide(duty, names, names.size(), silent),
+  gsApplyWatcherReport(
+    duty, "w", duty.Settings.MaxTablesAge + gsMilliseconds(1), false, silent);
+  EXPECT_EQ(gsUpdateWatchState(duty, names, names.size(), silent),
             gsWatchState::Uncovered);
-  gsDutyHear(duty, "other", gsMilliseconds(10), false, silent);
+  gsApplyWatcherReport(duty, "other", gsMilliseconds(10), false, silent);
   duty.State = gsWatchState::Covered;
-  EXPECT_EQ(gsDutyDecide(duty, names, names.size(), silent),
+  EXPECT_EQ(gsUpdateWatchState(duty, names, names.size(), silent),
             gsWatchState::Covered);
 }
 
-// While the platform was silent to all, every host of a hall asked it again
-// and again, and each call was counted.
-TEST(WatchDuty, ASilentPlatformIsAskedByOneHostMoreAfterTheOther)
+// While the platform did not respond to any host, all hosts of a hall queried
+// it repeatedly, and each call was counted.
+TEST(WatchDuty, HostsStartToWatchOneAfterAnotherWhenPlatformIsSilent)
 {
   std::vector<std::string> names = Names(20);
   std::vector<gsWatchDuty> duties = AllCovered(names);
-  gsTime step = duties[0].Settings.Step;
+  gsTime step = duties[0].Settings.TakeoverInterval;
   gsTime tick = gsMilliseconds(10);
-  std::size_t before = 0;
+  std::size_t previous = 0;
   for (gsTime at{}; at <= step * 18; at += tick) {
     for (gsWatchDuty& duty : duties) {
-      gsDutyDecide(duty, names, names.size(), Begin + at);
+      gsUpdateWatchState(duty, names, names.size(), Begin + at);
     }
     std::size_t watching = CountWatching(duties);
-    EXPECT_LE(watching, before + (before == 0 ? 2 : 1)) << at.count();
-    before = watching;
+    EXPECT_LE(watching, previous + (previous == 0 ? 2 : 1)) << at.count();
+    previous = watching;
   }
-  // In the end nobody depends on another's reaching it.
-  EXPECT_EQ(before, names.size());
+  // In the end all hosts watch, so none depends on another one to reach the
+  // platform.
+  EXPECT_EQ(previous, names.size());
 }
 
-TEST(WatchDuty, TheFirstThatReachesThePlatformCoversTheOthers)
+TEST(WatchDuty, FirstHostThatReachesPlatformCoversOthers)
 {
   std::vector<std::string> names = Names(20);
   std::vector<gsWatchDuty> duties = AllCovered(names);
   gsTime now = Begin;
   for (int i = 0; i < 400; ++i) {
     now += gsMilliseconds(10);
-    std::vector<std::string> reaches;
+    std::vector<std::string> reachingHosts;
     for (gsWatchDuty& duty : duties) {
-      gsWatchState state = gsDutyDecide(duty, names, names.size(), now);
+      gsWatchState state = gsUpdateWatchState(duty, names, names.size(), now);
       if (state == gsWatchState::Uncovered) {
-        reaches.push_back(duty.Self);
+        reachingHosts.push_back(duty.Self);
       }
     }
     for (gsWatchDuty& duty : duties) {
-      for (std::string const& host : reaches) {
+      for (std::string const& host : reachingHosts) {
         if (host != duty.Self) {
-          gsDutyHear(duty, host, gsMilliseconds(100), false, now);
+          gsApplyWatcherReport(duty, host, gsMilliseconds(100), false, now);
         }
       }
     }
   }
-  // The one that is assigned is blind; one more watches, and stays.
+  // The assigned host does not reach the platform. One other host watches, and
+  // continues to do so.
   EXPECT_EQ(CountWatching(duties), 2U);
 }
 
-TEST(WatchDuty, AHostThatHasJustStartedWaitsForOthersFirst)
+TEST(WatchDuty, StateIsUnchangedDuringStartupDelay)
 {
   gsWatchDuty duty;
   duty.Self = "h0";
-  duty.Started = Begin;
+  duty.StartedAt = Begin;
   std::vector<std::string> names = Names(1);
   gsTime soon = Begin + gsMilliseconds(200);
-  EXPECT_EQ(gsDutyDecide(duty, names, names.size(), soon),
+  EXPECT_EQ(gsUpdateWatchState(duty, names, names.size(), soon),
             gsWatchState::Covered);
-  gsTime later = Begin + duty.Settings.StartPatience;
-  EXPECT_EQ(gsDutyDecide(duty, names, names.size(), later),
+  gsTime later = Begin + duty.Settings.StartupDelay;
+  EXPECT_EQ(gsUpdateWatchState(duty, names, names.size(), later),
             gsWatchState::Assigned);
 }
 
-TEST(WatchDuty, TheSuccessorOfADeadWatcherIsAssigned)
+TEST(WatchDuty, NextHostIsAssignedWhenWatcherFails)
 {
   std::vector<std::string> names = Names(10);
   int assigned = 0;
-  for (std::size_t dead = 0; dead < names.size(); ++dead) {
-    std::vector<std::string> left = names;
-    left.erase(left.begin() + static_cast<std::ptrdiff_t>(dead));
-    for (std::string const& name : left) {
+  for (std::size_t failed = 0; failed < names.size(); ++failed) {
+    std::vector<std::string> remaining = names;
+    remaining.erase(remaining.begin() + static_cast<std::ptrdiff_t>(failed));
+    for (std::string const& name : remaining) {
       gsWatchDuty duty;
       duty.Self = name;
-      bool is =
-        gsDutyDecide(duty, left, left.size(), Begin) == gsWatchState::Assigned;
-      assigned += is ? 1 : 0;
+      bool isAssigned = gsUpdateWatchState(duty, remaining, remaining.size(),
+                                           Begin) == gsWatchState::Assigned;
+      assigned += isAssigned ? 1 : 0;
     }
   }
   EXPECT_EQ(assigned, 10);
 }
 
-TEST(WatchDuty, TellsWhenTablesWereLastUpToDate)
+TEST(WatchDuty, TablesCurrentAtIsLatestOfAllReports)
 {
   gsWatchDuty duty;
-  EXPECT_EQ(gsDutyFreshAt(duty), gsTime{});
-  gsDutyHear(duty, "a", gsMilliseconds(300), false, Begin);
-  gsDutyHear(duty, "b", gsMilliseconds(2000), false, Begin + gsSeconds(1));
-  EXPECT_EQ(gsDutyFreshAt(duty), Begin - gsMilliseconds(300));
+  EXPECT_EQ(gsTablesCurrentAt(duty), gsTime{});
+  gsApplyWatcherReport(duty, "a", gsMilliseconds(300), false, Begin);
+  gsApplyWatcherReport(duty, "b", gsMilliseconds(2000), false,
+                       Begin + gsSeconds(1));
+  EXPECT_EQ(gsTablesCurrentAt(duty), Begin - gsMilliseconds(300));
 }
 
-// A host that reaches the platform tells its coordinators, who tell the hall;
-// it must not take its own news that come back for another's.
-TEST(WatchDuty, NewsThatArePassedOnCoverOthersButNotTheirSource)
+// A host that reaches the platform sends reports to its coordinators, which
+// forward them to the hall. When its own report returns, the host must not
+// take it for the report of another watcher and stop watching.
+TEST(WatchDuty, ForwardedReportCoversOthersButNotItsSource)
 {
   std::vector<std::string> names = Names(50);
   std::vector<std::string> first(names.begin(), names.begin() + 6);
@@ -226,15 +231,15 @@
   gsTime now = Begin;
   while (source.State != gsWatchState::Uncovered) {
     now += gsMilliseconds(50);
-    gsDutyDecide(source, first, names.size(), now);
+    gsUpdateWatchState(source, first, names.size(), now);
   }
   for (int i = 0; i < 100; ++i) {
     now += gsMilliseconds(50);
-    gsDutyHear(source, first[1], gsMilliseconds(200), true, now);
-    gsDutyHear(other, first[1], gsMilliseconds(200), true, now);
-    EXPECT_EQ(gsDutyDecide(source, first, names.size(), now),
+    gsApplyWatcherReport(source, first[1], gsMilliseconds(200), true, now);
+    gsApplyWatcherReport(other, first[1], gsMilliseconds(200), true, now);
+    EXPECT_EQ(gsUpdateWatchState(source, first, names.size(), now),
               gsWatchState::Uncovered);
-    EXPECT_EQ(gsDutyDecide(other, first, names.size(), now),
+    EXPECT_EQ(gsUpdateWatchState(other, first, names.size(), now),
               gsWatchState::Covered);
   }
 }
